--- a/internal/attempt/board.go
+++ b/internal/attempt/board.go
@@ -91,7 +91,7 @@
 	draining     bool
 	leavingSince time.Time
 
-	sharer    *grants.Sharer
+	sharer    *grants.Allocator
 	changes   []grants.Change // reused by each grant
 	running   int
 	inUse     job.Demand
@@ -112,7 +112,7 @@
 		conns:     map[ConnID]*owner{},
 		past:      map[job.Incarnation]uint64{},
 		target:    wire.Target{Down: true},
-		sharer:    grants.NewSharer(),
+		sharer:    grants.NewAllocator(),
 		runningBy: map[Key]*attempt{},
 	}
 }
--- a/internal/attempt/granter.go
+++ b/internal/attempt/granter.go
@@ -16,11 +16,11 @@
 // up starts an owner's credits at zero, as its new connection does.
 func (g granter) up(o *owner) {
 	o.credits = credits{}
-	g.sharer.OwnerUp(uint64(o.incarnation))
+	g.sharer.AddOwner(uint64(o.incarnation))
 }
 
 // down frees the owner's unspent credits.
-func (g granter) down(o *owner) { g.sharer.OwnerDown(uint64(o.incarnation)) }
+func (g granter) down(o *owner) { g.sharer.RemoveOwner(uint64(o.incarnation)) }
 
 // hear takes an owner's demand. The error is a *ProtocolError.
 func (g granter) hear(o *owner, d *wire.Demand) error {
@@ -30,7 +30,7 @@
 	if d.Waiting < 0 {
 		return &ProtocolError{Owner: o.incarnation, Breach: BadDemand}
 	}
-	if !g.sharer.Demand(uint64(o.incarnation), d.Waiting, d.RankMs, d.Returned) {
+	if !g.sharer.SetDemand(uint64(o.incarnation), d.Waiting, d.RankMs, d.Returned) {
 		return &ProtocolError{Owner: o.incarnation, Breach: BadReturn}
 	}
 	if d.Returned > o.credits.returned {
@@ -46,7 +46,7 @@
 	if g.policy == Push {
 		return nil
 	}
-	if !g.sharer.Spent(uint64(o.incarnation)) {
+	if !g.sharer.Spend(uint64(o.incarnation)) {
 		return &ProtocolError{Owner: o.incarnation, Breach: NoCredit, Seq: seq}
 	}
 	o.credits.spent++
@@ -56,7 +56,7 @@
 // free gives back the slot of a start that was refused or whose call has ended.
 func (g granter) free() {
 	if g.policy != Push {
-		g.sharer.Finished()
+		g.sharer.Release()
 	}
 }
 
@@ -70,7 +70,7 @@
 		slots = g.target.Slots
 	}
 	g.sharer.SetSlots(slots)
-	g.changes = g.sharer.Changes(g.changes[:0])
+	g.changes = g.sharer.Rebalance(g.changes[:0])
 	for i := range g.changes {
 		g.apply(&g.changes[i])
 	}
--- a/internal/attempt/table.go
+++ b/internal/attempt/table.go
@@ -119,7 +119,7 @@
 // Quiet becomes true; with on false, the connection takes part again.
 func (t *Table) Retire(conn ConnID, on bool) {
 	if o := t.b.conns[conn]; o != nil {
-		t.b.sharer.Retire(uint64(o.incarnation), on)
+		t.b.sharer.SetRetired(uint64(o.incarnation), on)
 	}
 }
 
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -15,7 +15,7 @@
 
 // hearCrash takes what an agent tells of a life of its target.
 func (c *Core) hearCrash(a *agent, crash *wire.Crash) {
-	life := crashloop.Life{Target: crash.Target, BornMs: crash.BornMs}
+	life := crashloop.Incarnation{Target: crash.Target, StartedMs: crash.BornMs}
 	tasks := make([]crashloop.Task, len(crash.Tasks))
 	for i, t := range crash.Tasks {
 		tasks[i] = crashloop.Task{Job: t.Job, Step: t.Step, Index: t.Index}
@@ -23,11 +23,11 @@
 	event.Log(c.log, event.TargetCrashed, "host", a.host, "target", crash.Target, "born_ms", crash.BornMs, "fate", int(crash.Fate), "tasks", len(tasks))
 	switch crash.Fate {
 	case wire.FateSilent:
-		c.crashes.Silent(c.now, life, tasks)
+		c.crashes.RecordUnresponsive(c.now, life, tasks)
 	case wire.FateCrashed:
-		c.crashes.Crashed(c.now, life, tasks)
+		c.crashes.RecordCrash(c.now, life, tasks)
 	case wire.FateBack:
-		c.crashes.Back(life)
+		c.crashes.RecordRecovery(life)
 	}
 }
 
@@ -39,7 +39,7 @@
 		if t.state != taskWaiting {
 			continue
 		}
-		verdict, crashes := c.crashes.Judge(c.now, crashloop.Task{Job: l.ID, Step: t.step, Index: t.index})
+		verdict, crashes := c.crashes.Classify(c.now, crashloop.Task{Job: l.ID, Step: t.step, Index: t.index})
 		if verdict == crashloop.CrashLoop {
 			event.Log(c.log, event.TaskCrashLoop, "job", l.ID, "step", t.step, "task", t.index, "crashes", crashes)
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -76,13 +76,13 @@
 	draining bool
 	lastRun  uint64 // highest number of a start so far
 	counts   Counts
-	lines    map[string]*calibration.Line // what estimates are worth, by queue
-	margins  map[string]*headroom.Margin  // by queue
+	lines    map[string]*calibration.Regression // what estimates are worth, by queue
+	margins  map[string]*headroom.Margin        // by queue
 	link     *uplink.Link
-	comeback comeback.Plan // for those who are refused
+	comeback comeback.Schedule // for those who are refused
 	// evacuated are the data centres on whose targets nothing is to start.
 	evacuated map[string]struct{}
-	crashes   *crashloop.Ledger
+	crashes   *crashloop.Detector
 
 	candidates []earliest.Candidate // scratch of a placement
 	viewed     []*agent
@@ -117,7 +117,7 @@
 // New returns an empty core.
 func New(o Options) *Core {
 	return &Core{&board{
-		o: o, log: o.Log, jobs: newTable(), agents: map[ConnID]*agent{}, lines: map[string]*calibration.Line{}, margins: map[string]*headroom.Margin{},
+		o: o, log: o.Log, jobs: newTable(), agents: map[ConnID]*agent{}, lines: map[string]*calibration.Regression{}, margins: map[string]*headroom.Margin{},
 		evacuated: map[string]struct{}{}, crashes: crashloop.New(), link: uplink.New(o.LinkMbps),
 	}}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -391,7 +391,7 @@
 func TestQueuesThatComeLateAreLearned(t *testing.T) {
 	w := newWorld(t, 1)
 	for i := range 3 * maxLines {
-		w.line(fmt.Sprint("queue-", i)).Came(100)
+		w.line(fmt.Sprint("queue-", i)).AddEstimate(100)
 		w.Expect(len(w.lines)).To(BeNumerically("<=", maxLines))
 	}
 	w.Expect(w.line("last")).To(BeIdenticalTo(w.line("last")))
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -17,7 +17,7 @@
 const maxLines = 1024
 
 // line returns what is known of a queue's estimates.
-func (c *Core) line(queue string) *calibration.Line {
+func (c *Core) line(queue string) *calibration.Regression {
 	line := c.lines[queue]
 	if line != nil {
 		return line
@@ -25,7 +25,7 @@
 	if len(c.lines) >= maxLines {
 		clear(c.lines)
 	}
-	line = &calibration.Line{}
+	line = &calibration.Regression{}
 	c.lines[queue] = line
 	return line
 }
@@ -54,7 +54,7 @@
 	}
 	c.margin(l.Queue) // there is one from now on
 	for _, m := range c.margins {
-		m.Ended(c.now, l.Queue.Priority, late || givenUp)
+		m.RecordOutcome(c.now, l.Queue.Priority, late || givenUp)
 	}
 }
 
@@ -67,8 +67,8 @@
 	for i := range corrected.Steps {
 		s := &corrected.Steps[i]
 		declaredMs := clock.Millis(s.Estimate)
-		line.Came(declaredMs)
-		s.Estimate = clock.FromMillis(line.Expected(declaredMs))
+		line.AddEstimate(declaredMs)
+		s.Estimate = clock.FromMillis(line.ExpectedMs(declaredMs))
 	}
 	return &corrected
 }
@@ -79,5 +79,5 @@
 		return
 	}
 	declaredMs := clock.Millis(at.job.asSent.Steps[at.task.step].Estimate)
-	c.line(at.job.Queue.Name).Ended(declaredMs, out.RunMs*max(a.load.Speed, minSpeed))
+	c.line(at.job.Queue.Name).AddRunTime(declaredMs, out.RunMs*max(a.load.Speed, minSpeed))
 }
--- a/internal/dispatch/intake.go
+++ b/internal/dispatch/intake.go
@@ -98,10 +98,10 @@
 		return
 	}
 	c.jobs.add(l)
-	c.comeback.LetIn(c.now)
+	c.comeback.RecordAdmission(c.now)
 	c.counts.Accepted++
 	event.Log(c.log, event.JobAccepted, "job", j.ID, "queue", j.Queue.Name, "config", j.Version, "tasks", len(l.tasks),
-		"chain_ms", chain.Milliseconds(), "estimate_trust", c.line(j.Queue.Name).Trust(),
+		"chain_ms", chain.Milliseconds(), "estimate_trust", c.line(j.Queue.Name).Reliability(),
 		"objective_ms", objective.Milliseconds(), "caller_waits_ms", j.Deadline.Sub(c.now).Milliseconds())
 	c.placeWaiting(l)
 }
@@ -127,7 +127,7 @@
 		return f, end
 	}
 	if limit := c.admitMs(l, room); end > limit {
-		after := c.comeback.After(c.now, clock.FromMillis(end-limit), l.Queue.Priority)
+		after := c.comeback.RetryAfter(c.now, clock.FromMillis(end-limit), l.Queue.Priority)
 		return fault.Refused(fault.Overloaded, "it can't be done in time", after), end
 	}
 	return nil, end
@@ -141,7 +141,7 @@
 	objective := l.objective.Sub(c.now)
 	var margin time.Duration
 	if !room {
-		margin = c.margin(l.Queue).Of(c.now, objective)
+		margin = c.margin(l.Queue).For(c.now, objective)
 	}
 	return min(admitFactor*clock.Millis(objective)-clock.Millis(margin), clock.Millis(l.Deadline.Sub(c.now)))
 }
@@ -162,9 +162,9 @@
 			f := fault.Refused(fault.NeverRunnable, "no target that is known can hold a task of it", retryAfter)
 			return 0, false, f
 		}
-		room = room && choice.Room
-		sendMs += c.candidates[choice.Index].SendMs()
-		c.candidates[choice.Index].Take(spec, choice.Index)
+		room = room && choice.FitsNow
+		sendMs += c.candidates[choice.Index].TransmitMs()
+		c.candidates[choice.Index].Reserve(spec, choice.Index)
 		behind := l.tails[t.step] - l.Steps[t.step].Estimate
 		endMs = max(endMs, choice.EndMs+sendMs+clock.Millis(behind))
 	}
@@ -175,8 +175,8 @@
 func (c *Core) refuse(l *liveJob, f *fault.Fault, predictedMs float64) {
 	c.counts.Refused++
 	event.Log(c.log, event.JobRefused, "job", l.ID, "queue", l.Queue.Name, "config", l.Version, "code", int(f.Code), "reason", f.Name,
-		"estimate_trust", c.line(l.Queue.Name).Trust(), "detail", f.Detail, "predicted_ms", predictedMs, "objective_ms", clock.Millis(l.objective.Sub(c.now)),
-		"caller_waits_ms", clock.Millis(l.Deadline.Sub(c.now)), "margin_ms", clock.Millis(c.margin(l.Queue).Of(c.now, l.objective.Sub(c.now))), "link_wait_ms", c.link.WaitMs(c.now),
+		"estimate_trust", c.line(l.Queue.Name).Reliability(), "detail", f.Detail, "predicted_ms", predictedMs, "objective_ms", clock.Millis(l.objective.Sub(c.now)),
+		"caller_waits_ms", clock.Millis(l.Deadline.Sub(c.now)), "margin_ms", clock.Millis(c.margin(l.Queue).For(c.now, l.objective.Sub(c.now))), "link_wait_ms", c.link.WaitMs(c.now),
 		"targets", len(c.viewed), "oldest_load_ms", c.oldestLoadMs(), "retry_after_ms", f.RetryAfterMs)
 	answer := Answer{Kind: AnswerNotRun, Fault: f, RetryAfter: time.Duration(f.RetryAfterMs) * time.Millisecond}
 	for _, w := range l.waiters {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -58,7 +58,7 @@
 		}
 		c.viewed = append(c.viewed, a)
 		cand := c.candidate(a, l)
-		cand.HopMs, cand.FirstMs = cand.HopMs+linkWaitMs, firstMs
+		cand.RoundTripMs, cand.BodyTransmitMs = cand.RoundTripMs+linkWaitMs, firstMs
 		c.candidates = append(c.candidates, cand)
 	}
 	return evacuated
@@ -75,12 +75,12 @@
 	slack := clock.Millis(l.objective.Sub(c.now)) - clock.Millis(l.tails[0])
 	cand := earliest.Candidate{
 		Free: a.load.Free, Total: a.target.Capacity, WaitMs: a.load.WaitMs[horizon(slack)],
-		Speed: max(a.load.Speed, minSpeed), HopMs: hop, Failed: a.load.FailedRate,
+		Speed: max(a.load.Speed, minSpeed), RoundTripMs: hop, FailureRate: a.load.FailedRate,
 	}
 	for i := range a.unseen {
-		cand.Take(a.unseen[i].task, a.unseen[i].index)
+		cand.Reserve(a.unseen[i].task, a.unseen[i].index)
 	}
-	cand.OwnTasks = 0
+	cand.StepTasks = 0
 	return cand
 }
 
@@ -99,8 +99,8 @@
 func (c *Core) spec(l *liveJob, t *task) earliest.Task {
 	s := &l.Steps[t.step]
 	spec := earliest.Task{
-		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate), LeftMs: c.leftMs(l, t),
-		MostPerTarget: s.MostPerTarget, RemoteFactor: c.o.RemoteFactor,
+		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate), RemainingMs: c.leftMs(l, t),
+		MaxPerTarget: s.MostPerTarget, RemoteFactor: c.o.RemoteFactor,
 	}
 	if s.Label != "" || len(t.failedAt) > 0 {
 		spec.Fits = func(i int) bool {
@@ -109,7 +109,7 @@
 		}
 	}
 	if s.DataRack != "" {
-		spec.Near = func(i int) bool { return slices.Contains(c.viewed[i].target.Labels, s.DataRack) }
+		spec.IsLocal = func(i int) bool { return slices.Contains(c.viewed[i].target.Labels, s.DataRack) }
 	}
 	return spec
 }
@@ -150,7 +150,7 @@
 			c.giveUp(l, fault.New(fault.Overloaded, "no target can take a task of it now"))
 			return
 		}
-		c.candidates[choice.Index].Take(spec, choice.Index)
+		c.candidates[choice.Index].Reserve(spec, choice.Index)
 		a := c.viewed[choice.Index]
 		c.order(l, t, a, spec, choice)
 		placed = append(placed, strconv.Itoa(t.step)+"."+strconv.Itoa(t.index)+"@"+a.host)
@@ -169,7 +169,7 @@
 			continue
 		}
 		if k := slices.Index(c.viewed, at.agent); k >= 0 {
-			c.candidates[k].OwnTasks++
+			c.candidates[k].StepTasks++
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	s := &l.Steps[t.step]
 	a.nextSeq++
 	at := &attempt{seq: a.nextSeq, run: c.nextRun(l), agent: a, job: l, task: t, placedAt: c.now,
-		expected: clock.FromMillis(choice.EndMs), room: choice.Room}
+		expected: clock.FromMillis(choice.EndMs), room: choice.FitsNow}
 	c.link.Sent(c.now, c.sendBytes(a, l))
 	t.state, t.attempt = taskPlaced, at
 	a.attempts[at.seq] = at
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -175,7 +175,7 @@
 
 func (c *Core) conclude(l *liveJob) {
 	if !l.mayHave && l.open == 0 {
-		after := c.comeback.After(c.now, retryAfter, l.Queue.Priority)
+		after := c.comeback.RetryAfter(c.now, retryAfter, l.Queue.Priority)
 		l.endFault.RetryAfterMs = after.Milliseconds()
 		c.finish(l, Answer{Kind: AnswerNotRun, Fault: l.endFault, RetryAfter: after})
 		return
--- a/internal/owner/choose.go
+++ b/internal/owner/choose.go
@@ -70,7 +70,7 @@
 		EstimateMs: l.tasks[task].estimateMs,
 		Demand:     l.sub.Tasks[task].Demand,
 		SlackMs:    slackMs,
-		Spread:     c.estimator.Spread(l.sub.Class),
+		Spread:     c.estimator.ErrorFactor(l.sub.Class),
 		DeadlineIn: l.sub.ID.Deadline.Sub(now),
 	}
 	if l.sub.SpreadRacks {
--- a/internal/scheduler/calibration/calibration.go
+++ b/internal/scheduler/calibration/calibration.go
@@ -40,8 +40,8 @@
 	leastMs = 0.1
 )
 
-// Line is what is known of the estimates of one queue. The zero Line believes them.
-type Line struct {
+// Regression is what is known of the estimates of one queue. The zero Regression believes them.
+type Regression struct {
 	middle              float64 // mean logarithm of the estimates that came
 	came                float64 // how many, up to memory
 	meanX, meanY        float64 // of those that ended: estimate, run time
@@ -49,21 +49,21 @@
 	ended               float64 // how many, up to memory
 }
 
-// Came takes the estimate of a step that came in.
-func (l *Line) Came(estimateMs float64) {
+// AddEstimate takes the estimate of a step that came in.
+func (l *Regression) AddEstimate(estimateMs float64) {
 	l.came = min(l.came+1, memory)
 	l.middle += (logOf(estimateMs) - l.middle) / l.came
 }
 
-// Ended takes how long a task took, at a target of speed 1.
-func (l *Line) Ended(estimateMs, tookMs float64) {
+// AddRunTime takes how long a task took, at a target of speed 1.
+func (l *Regression) AddRunTime(estimateMs, tookMs float64) {
 	if !(tookMs > 0) || !(estimateMs > 0) {
 		return
 	}
 	x, y := logOf(estimateMs), logOf(tookMs)
 	l.ended = min(l.ended+1, memory)
 	if l.ended > 1 {
-		expected := l.meanY + l.Trust()*(x-l.meanX)
+		expected := l.meanY + l.Reliability()*(x-l.meanX)
 		y = min(max(y, expected-mostSurprise), expected+mostSurprise)
 	}
 	weight := 1 / l.ended
@@ -74,19 +74,19 @@
 	l.covariant += weight * (dx*(y-l.meanY) - l.covariant)
 }
 
-// Trust returns how much of an estimate's distance from the usual one is to be believed,
+// Reliability returns how much of an estimate's distance from the usual one is to be believed,
 // from 0 to 1.
-func (l *Line) Trust() float64 {
+func (l *Regression) Reliability() float64 {
 	slope := (believed*usualVariance + l.ended*l.covariant) / (believed*usualVariance + l.ended*l.variance)
 	return min(max(slope, 0), 1)
 }
 
-// Expected returns how long a task of that estimate is expected to take.
-func (l *Line) Expected(estimateMs float64) float64 {
+// ExpectedMs returns how long a task of that estimate is expected to take.
+func (l *Regression) ExpectedMs(estimateMs float64) float64 {
 	if l.came == 0 || !(estimateMs > 0) {
 		return estimateMs
 	}
-	return math.Exp(l.middle + l.Trust()*(logOf(estimateMs)-l.middle))
+	return math.Exp(l.middle + l.Reliability()*(logOf(estimateMs)-l.middle))
 }
 
 func logOf(ms float64) float64 { return math.Log(max(ms, leastMs)) }
--- a/internal/scheduler/calibration/calibration_test.go
+++ b/internal/scheduler/calibration/calibration_test.go
@@ -23,17 +23,17 @@
 // the estimates as they came, as logarithms.
 func play(l load, tasks int) (corrected, declared float64) {
 	r := rand.New(rand.NewPCG(1, 1))
-	var line Line
+	var line Regression
 	counted := 0.0
 	for i := range tasks {
 		estimate, took := l.draw(r)
-		line.Came(estimate)
+		line.AddEstimate(estimate)
 		if i >= tasks/2 {
-			corrected += math.Abs(math.Log(line.Expected(estimate) / took))
+			corrected += math.Abs(math.Log(line.ExpectedMs(estimate) / took))
 			declared += math.Abs(math.Log(estimate / took))
 			counted++
 		}
-		line.Ended(estimate, took)
+		line.AddRunTime(estimate, took)
 	}
 	return corrected / counted, declared / counted
 }
@@ -59,56 +59,56 @@
 // seconds share a queue: a rule that pulls to the middle would spoil them.
 func TestRightEstimatesAreKept(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 2))
-	var line Line
+	var line Regression
 	for range 2000 {
 		ms := []float64{40, 4000}[r.IntN(2)] * math.Exp(0.1*r.NormFloat64())
-		line.Came(ms)
-		line.Ended(ms, ms)
+		line.AddEstimate(ms)
+		line.AddRunTime(ms, ms)
 	}
 	g := NewWithT(t)
-	g.Expect(line.Expected(40)).To(BeNumerically("~", 40, 1))
-	g.Expect(line.Expected(4000)).To(BeNumerically("~", 4000, 80))
+	g.Expect(line.ExpectedMs(40)).To(BeNumerically("~", 40, 1))
+	g.Expect(line.ExpectedMs(4000)).To(BeNumerically("~", 4000, 80))
 }
 
 // Speeds are measured by estimates, so a target that takes twice as long as all estimates
 // say is a slow target. The line must not answer by calling the tasks long: targets and
 // estimates would drive each other away.
 func TestLevelIsLeftToTheTargets(t *testing.T) {
-	var line Line
+	var line Regression
 	r := rand.New(rand.NewPCG(3, 3))
 	for range 2000 {
 		estimate, took := load{100, 0.4, 0.4}.draw(r)
-		line.Came(estimate)
-		line.Ended(estimate, 2*took)
+		line.AddEstimate(estimate)
+		line.AddRunTime(estimate, 2*took)
 	}
-	NewWithT(t).Expect(line.Expected(100)).To(BeNumerically("~", 100, 8))
+	NewWithT(t).Expect(line.ExpectedMs(100)).To(BeNumerically("~", 100, 8))
 }
 
 // One task in twenty hangs a hundred times as long as it should. What is known of the
 // others must not go with it.
 func TestHungTasksTeachLittle(t *testing.T) {
-	var line Line
+	var line Regression
 	r := rand.New(rand.NewPCG(4, 4))
 	for i := range 2000 {
 		estimate, took := load{100, 0.4, 0.2}.draw(r)
-		line.Came(estimate)
+		line.AddEstimate(estimate)
 		if i%20 == 0 {
 			took *= 100
 		}
-		line.Ended(estimate, took)
+		line.AddRunTime(estimate, took)
 	}
-	NewWithT(t).Expect(line.Trust()).To(BeNumerically("~", 0.8, 0.2))
+	NewWithT(t).Expect(line.Reliability()).To(BeNumerically("~", 0.8, 0.2))
 }
 
 // Nothing was seen yet, or what came makes no sense.
 func TestUnknownEstimatesAreBelieved(t *testing.T) {
 	g := NewWithT(t)
-	var line Line
-	g.Expect(line.Expected(70)).To(Equal(70.0))
-	line.Ended(0, 10)
-	line.Ended(10, 0)
-	line.Ended(10, math.NaN())
-	line.Came(50)
-	g.Expect(line.Expected(0)).To(Equal(0.0))
-	g.Expect(line.Expected(70)).To(BeNumerically("~", 70, 1e-6))
+	var line Regression
+	g.Expect(line.ExpectedMs(70)).To(Equal(70.0))
+	line.AddRunTime(0, 10)
+	line.AddRunTime(10, 0)
+	line.AddRunTime(10, math.NaN())
+	line.AddEstimate(50)
+	g.Expect(line.ExpectedMs(0)).To(Equal(0.0))
+	g.Expect(line.ExpectedMs(70)).To(BeNumerically("~", 70, 1e-6))
 }
--- a/internal/scheduler/comeback/comeback.go
+++ b/internal/scheduler/comeback/comeback.go
@@ -29,23 +29,23 @@
 	most  = 10 * time.Second
 )
 
-// Plan has the seconds that callers were given. The zero Plan is empty.
-type Plan struct {
+// Schedule has the seconds that callers were given. The zero Schedule is empty.
+type Schedule struct {
 	second  int64 // that is counted now, in Unix seconds
 	letIn   float64
 	rate    float64       // jobs let in a second
 	planned map[int64]int // callers given each second
 }
 
-// LetIn takes a job that was let in.
-func (p *Plan) LetIn(now time.Time) {
+// RecordAdmission takes a job that was let in.
+func (p *Schedule) RecordAdmission(now time.Time) {
 	p.pass(now)
 	p.letIn++
 }
 
-// After returns how long a caller that is refused now should wait. The queue that refused it is
+// RetryAfter returns how long a caller that is refused now should wait. The queue that refused it is
 // expected to have room after lag; priority 0 is the most urgent.
-func (p *Plan) After(now time.Time, lag time.Duration, priority int) time.Duration {
+func (p *Schedule) RetryAfter(now time.Time, lag time.Duration, priority int) time.Duration {
 	p.pass(now)
 	limit := p.limit(priority)
 	first, last := now.Add(max(lag, least)).Unix(), now.Add(most).Unix()
@@ -58,7 +58,7 @@
 }
 
 // limit is how many callers of that urgency a second may be given to.
-func (p *Plan) limit(priority int) int {
+func (p *Schedule) limit(priority int) int {
 	share := returnShare
 	for range min(priority, 3) {
 		share *= lessShare
@@ -67,7 +67,7 @@
 }
 
 // pass begins another second.
-func (p *Plan) pass(now time.Time) {
+func (p *Schedule) pass(now time.Time) {
 	second := now.Unix()
 	if p.planned == nil {
 		p.planned = map[int64]int{}
--- a/internal/scheduler/comeback/comeback_test.go
+++ b/internal/scheduler/comeback/comeback_test.go
@@ -100,8 +100,8 @@
 func TestCallersWhoComeBackAsToldAreServed(t *testing.T) {
 	g := NewWithT(t)
 	constant := play(func(time.Time) {}, func(time.Time, int) time.Duration { return time.Second })
-	var p Plan
-	planned := play(p.LetIn, func(now time.Time, priority int) time.Duration { return p.After(now, 0, priority) })
+	var p Schedule
+	planned := play(p.RecordAdmission, func(now time.Time, priority int) time.Duration { return p.RetryAfter(now, 0, priority) })
 	t.Logf("constant %+v", constant)
 	t.Logf("planned  %+v", planned)
 	perAnswer := func(o outcome) float64 { return float64(o.tries) / float64(o.served) }
@@ -112,15 +112,15 @@
 
 // Guards against callers who are asked back before the queue that refused them has room.
 func TestNobodyIsAskedBackBeforeThereIsRoom(t *testing.T) {
-	var p Plan
-	NewWithT(t).Expect(p.After(begin, 4*time.Second, 0)).To(BeNumerically(">=", 4*time.Second))
+	var p Schedule
+	NewWithT(t).Expect(p.RetryAfter(begin, 4*time.Second, 0)).To(BeNumerically(">=", 4*time.Second))
 }
 
 // Guards against callers who are told to wait for ever while nothing is let in.
 func TestWaitsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	var p Plan
+	var p Schedule
 	for range 10_000 {
-		g.Expect(p.After(begin, 0, 2)).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
+		g.Expect(p.RetryAfter(begin, 0, 2)).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
 	}
 }
--- a/internal/scheduler/crashloop/crashloop.go
+++ b/internal/scheduler/crashloop/crashloop.go
@@ -42,10 +42,10 @@
 	Step, Index int
 }
 
-// Life names one life of a target.
-type Life struct {
-	Target string
-	BornMs int64
+// Incarnation names one life of a target.
+type Incarnation struct {
+	Target    string
+	StartedMs int64
 }
 
 // Verdict is what is known of a task.
@@ -63,7 +63,7 @@
 
 // crash is a target that crashed, or that does not answer, with tasks at work.
 type crash struct {
-	life   Life
+	life   Incarnation
 	at     time.Time
 	proven bool
 	tasks  map[Task]struct{}
@@ -76,8 +76,8 @@
 	others    int // other tasks that were at work there
 }
 
-// Ledger remembers crashes. It is not safe for concurrent use.
-type Ledger struct {
+// Detector remembers crashes. It is not safe for concurrent use.
+type Detector struct {
 	crashes []*crash
 	byTask  map[Task][]*crash
 	tasks   int // that the crashes name
@@ -86,10 +86,10 @@
 }
 
 // New returns an empty ledger.
-func New() *Ledger { return newLedger(standAlone) }
+func New() *Detector { return newLedger(standAlone) }
 
-func newLedger(isLoop func([]row) bool) *Ledger {
-	return &Ledger{byTask: map[Task][]*crash{}, isLoop: isLoop}
+func newLedger(isLoop func([]row) bool) *Detector {
+	return &Detector{byTask: map[Task][]*crash{}, isLoop: isLoop}
 }
 
 // standAlone takes two crashes that nothing else explains, or three of any kind, for a loop.
@@ -103,15 +103,19 @@
 	return alone >= enoughCrashes || len(rows) >= mostCrashes
 }
 
-// Silent takes that a target with tasks at work does not answer.
-func (l *Ledger) Silent(now time.Time, life Life, tasks []Task) { l.note(now, life, tasks, false) }
+// RecordUnresponsive takes that a target with tasks at work does not answer.
+func (l *Detector) RecordUnresponsive(now time.Time, life Incarnation, tasks []Task) {
+	l.note(now, life, tasks, false)
+}
 
-// Crashed takes that a target's life has ended with tasks at work. A crash that was said to
+// RecordCrash takes that a target's life has ended with tasks at work. A crash that was said to
 // be a silence before keeps the time of that.
-func (l *Ledger) Crashed(now time.Time, life Life, tasks []Task) { l.note(now, life, tasks, true) }
+func (l *Detector) RecordCrash(now time.Time, life Incarnation, tasks []Task) {
+	l.note(now, life, tasks, true)
+}
 
-// Back takes that a target that did not answer has gone on with its life.
-func (l *Ledger) Back(life Life) {
+// RecordRecovery takes that a target that did not answer has gone on with its life.
+func (l *Detector) RecordRecovery(life Incarnation) {
 	for i, c := range l.crashes {
 		if c.life == life && !c.proven {
 			l.crashes = slices.Delete(l.crashes, i, i+1)
@@ -121,7 +125,7 @@
 	}
 }
 
-func (l *Ledger) forget(c *crash) {
+func (l *Detector) forget(c *crash) {
 	l.tasks -= len(c.tasks)
 	for t := range c.tasks {
 		left := slices.DeleteFunc(l.byTask[t], func(o *crash) bool { return o == c })
@@ -133,7 +137,7 @@
 	}
 }
 
-func (l *Ledger) note(now time.Time, life Life, tasks []Task, proven bool) {
+func (l *Detector) note(now time.Time, life Incarnation, tasks []Task, proven bool) {
 	l.expire(now)
 	c := l.find(life)
 	if c == nil {
@@ -152,7 +156,7 @@
 	}
 }
 
-func (l *Ledger) find(life Life) *crash {
+func (l *Detector) find(life Incarnation) *crash {
 	for _, c := range l.crashes {
 		if c.life == life {
 			return c
@@ -161,15 +165,15 @@
 	return nil
 }
 
-func (l *Ledger) expire(now time.Time) {
+func (l *Detector) expire(now time.Time) {
 	for len(l.crashes) > 0 && (now.Sub(l.crashes[0].at) > remembered || len(l.crashes) >= mostRemembered || l.tasks >= mostTasks) {
 		l.forget(l.crashes[0])
 		l.crashes = slices.Delete(l.crashes, 0, 1)
 	}
 }
 
-// Judge returns what is thought of a task, and how many targets have crashed under it.
-func (l *Ledger) Judge(now time.Time, t Task) (v Verdict, crashes int) {
+// Classify returns what is thought of a task, and how many targets have crashed under it.
+func (l *Detector) Classify(now time.Time, t Task) (v Verdict, crashes int) {
 	var rows []row
 	silent := 0
 	for _, c := range l.byTask[t] {
@@ -194,7 +198,7 @@
 // explained reports whether enough other targets crashed, or fell silent, at the same moment that
 // ran nothing of the job. The tasks of a job start together, so several may each crash a target at
 // once; these don't explain each other.
-func (l *Ledger) explained(c *crash, job string) bool {
+func (l *Detector) explained(c *crash, job string) bool {
 	others := 0
 	for _, o := range l.crashes {
 		if o == c || o.at.Sub(c.at).Abs() > sameMoment {
--- a/internal/scheduler/crashloop/replay_test.go
+++ b/internal/scheduler/crashloop/replay_test.go
@@ -90,7 +90,7 @@
 		for k, task := range t.tasks {
 			names[k] = task.name
 		}
-		ledger.Crashed(begin.Add(time.Duration(step)*fleetStep), Life{fmt.Sprint(i), t.lives}, names)
+		ledger.RecordCrash(begin.Add(time.Duration(step)*fleetStep), Incarnation{fmt.Sprint(i), t.lives}, names)
 		waiting = append(waiting, t.tasks...)
 		t.tasks, t.upAt, t.lives = nil, step+downFor, t.lives+1
 	}
@@ -144,10 +144,10 @@
 }
 
 // place gives each waiting task a target that is up, unless it is in a crash loop.
-func place(x *rand.Rand, now time.Time, step int, targets []*simTarget, waiting []*simTask, ledger *Ledger, cost *loss) []*simTask {
+func place(x *rand.Rand, now time.Time, step int, targets []*simTarget, waiting []*simTask, ledger *Detector, cost *loss) []*simTask {
 	var left []*simTask
 	for _, task := range waiting {
-		verdict, crashes := ledger.Judge(now, task.name)
+		verdict, crashes := ledger.Classify(now, task.name)
 		if verdict == CrashLoop {
 			if task.crashIn == 0 {
 				cost.innocents++
--- a/internal/scheduler/earliest/earliest.go
+++ b/internal/scheduler/earliest/earliest.go
@@ -22,33 +22,33 @@
 
 // Candidate is a target as a placement sees it.
 type Candidate struct {
-	Free     job.Demand
-	Total    job.Demand
-	WaitMs   float64 // predicted wait where there is no room now
-	ExtraMs  float64 // the same for what was placed since the prediction
-	Speed    float64
-	HopMs    float64 // to the target and back
-	Failed   float64 // part of what it ran lately that failed, 0 to 1
-	OwnTasks int     // tasks of the step that are placed here
-	// FirstMs is how long the entry's link takes to send the job's body, for a candidate that
+	Free        job.Demand
+	Total       job.Demand
+	WaitMs      float64 // predicted wait where there is no room now
+	AddedWaitMs float64 // the same for what was placed since the prediction
+	Speed       float64
+	RoundTripMs float64 // to the target and back
+	FailureRate float64 // part of what it ran lately that failed, 0 to 1
+	StepTasks   int     // tasks of the step that are placed here
+	// BodyTransmitMs is how long the entry's link takes to send the job's body, for a candidate that
 	// has no task of the step yet.
-	FirstMs float64
+	BodyTransmitMs float64
 }
 
 // Task is what is to be placed.
 type Task struct {
 	Demand     job.Demand
 	EstimateMs float64
-	// LeftMs is the time from now by which the task must end for its job to be in time.
-	LeftMs float64
-	// MostPerTarget bounds the step's tasks on one target; 0: no bound.
-	MostPerTarget int
+	// RemainingMs is the time from now by which the task must end for its job to be in time.
+	RemainingMs float64
+	// MaxPerTarget bounds the step's tasks on one target; 0: no bound.
+	MaxPerTarget int
 	// RemoteFactor is how many times longer the task takes where Near says false.
 	RemoteFactor float64
 	// Fits reports whether a candidate may take the task at all; nil means all.
 	Fits func(i int) bool
-	// Near reports whether a candidate is near the task's data; nil means all are.
-	Near func(i int) bool
+	// IsLocal reports whether a candidate is near the task's data; nil means all are.
+	IsLocal func(i int) bool
 }
 
 // failedMs is what a target that fails everything is put back by, in expected time. A
@@ -61,7 +61,7 @@
 	Index   int // None where no candidate may take it
 	EndMs   float64
 	StartMs float64 // the wait there that EndMs reckons with
-	Room    bool    // there is room for it now
+	FitsNow bool    // there is room for it now
 }
 
 // Choose returns the candidate on which it costs least to place the task: one on which it
@@ -71,14 +71,14 @@
 	best, bestCost := Choice{Index: None}, 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		if !t.Demand.Fits(c.Total) || t.MostPerTarget > 0 && c.OwnTasks >= t.MostPerTarget || t.Fits != nil && !t.Fits(i) {
+		if !t.Demand.Fits(c.Total) || t.MaxPerTarget > 0 && c.StepTasks >= t.MaxPerTarget || t.Fits != nil && !t.Fits(i) {
 			continue
 		}
 		startMs, runMs := c.startMs(&t.Demand), c.runMs(&t, i)
-		end := c.HopMs + startMs + runMs + c.SendMs()
-		cost := endCostMs(end, runMs, t.LeftMs) + c.Failed*failedMs + waitAversion*startMs + c.crowdMs(&t) + sendAversion*c.SendMs()
+		end := c.RoundTripMs + startMs + runMs + c.TransmitMs()
+		cost := endCostMs(end, runMs, t.RemainingMs) + c.FailureRate*failedMs + waitAversion*startMs + c.crowdMs(&t) + sendAversion*c.TransmitMs()
 		if best.Index == None || cost < bestCost {
-			best, bestCost = Choice{Index: i, EndMs: end, StartMs: startMs, Room: t.Demand.Fits(c.Free)}, cost
+			best, bestCost = Choice{Index: i, EndMs: end, StartMs: startMs, FitsNow: t.Demand.Fits(c.Free)}, cost
 		}
 	}
 	return best
@@ -109,12 +109,12 @@
 // wait for it.
 const sendAversion = 4
 
-// SendMs is how long the entry's link takes to send a task's order.
-func (c *Candidate) SendMs() float64 {
-	if c.OwnTasks > 0 {
+// TransmitMs is how long the entry's link takes to send a task's order.
+func (c *Candidate) TransmitMs() float64 {
+	if c.StepTasks > 0 {
 		return 0
 	}
-	return c.FirstMs
+	return c.BodyTransmitMs
 }
 
 // endShare is the cost of an end before the objective, against what crowding and waits
@@ -142,7 +142,7 @@
 
 func (c *Candidate) runMs(t *Task, i int) float64 {
 	run := t.EstimateMs / c.Speed
-	if t.Near != nil && !t.Near(i) {
+	if t.IsLocal != nil && !t.IsLocal(i) {
 		run *= t.RemoteFactor
 	}
 	return run
@@ -153,14 +153,14 @@
 	if d.Fits(c.Free) {
 		return 0
 	}
-	return waitFactor*(c.WaitMs+c.ExtraMs) + waitMarginMs
+	return waitFactor*(c.WaitMs+c.AddedWaitMs) + waitMarginMs
 }
 
-// Take counts a placed task in.
-func (c *Candidate) Take(t Task, i int) {
-	c.OwnTasks++
+// Reserve counts a placed task in.
+func (c *Candidate) Reserve(t Task, i int) {
+	c.StepTasks++
 	if !t.Demand.Fits(c.Free) {
-		c.ExtraMs += c.runMs(&t, i) * float64(t.Demand.CPUMilli) / float64(max(c.Total.CPUMilli, 1))
+		c.AddedWaitMs += c.runMs(&t, i) * float64(t.Demand.CPUMilli) / float64(max(c.Total.CPUMilli, 1))
 	}
 	c.Free = c.Free.Minus(t.Demand)
 }
--- a/internal/scheduler/earliest/earliest_test.go
+++ b/internal/scheduler/earliest/earliest_test.go
@@ -27,7 +27,7 @@
 	count := make([]int, len(candidates))
 	for range 8 {
 		c := Choose(task, candidates)
-		candidates[c.Index].Take(task, c.Index)
+		candidates[c.Index].Reserve(task, c.Index)
 		count[c.Index]++
 	}
 	g.Expect(count[0]).To(Equal(4), "as many as the fast one has room for")
@@ -57,7 +57,7 @@
 	count := make([]int, len(candidates))
 	for range 9 {
 		c := Choose(task, candidates)
-		candidates[c.Index].Take(task, c.Index)
+		candidates[c.Index].Reserve(task, c.Index)
 		count[c.Index]++
 	}
 	g.Expect(count).To(HaveEach(BeNumerically(">=", 2)))
@@ -67,7 +67,7 @@
 func TestFailingFastDoesNotLookFast(t *testing.T) {
 	g := NewWithT(t)
 	failing, busy := idle(4), idle(1)
-	failing.Failed = 0.5
+	failing.FailureRate = 0.5
 	busy.Free, busy.WaitMs = cores(0), 100
 	g.Expect(Choose(Task{Demand: cores(2), EstimateMs: 100}, []Candidate{failing, busy}).Index).To(Equal(1))
 }
@@ -77,7 +77,7 @@
 func TestDataIsNearWhereThatEndsEarlier(t *testing.T) {
 	g := NewWithT(t)
 	near, far := idle(1), idle(1)
-	task := Task{Demand: cores(2), EstimateMs: 100, RemoteFactor: 1.5, Near: func(i int) bool { return i == 1 }}
+	task := Task{Demand: cores(2), EstimateMs: 100, RemoteFactor: 1.5, IsLocal: func(i int) bool { return i == 1 }}
 	g.Expect(Choose(task, []Candidate{far, near}).Index).To(Equal(1))
 	near.Free, near.WaitMs = cores(0), 60
 	g.Expect(Choose(task, []Candidate{far, near}).Index).To(Equal(0))
@@ -87,9 +87,9 @@
 func TestNoCandidate(t *testing.T) {
 	g := NewWithT(t)
 	used := idle(1)
-	used.OwnTasks = 1
+	used.StepTasks = 1
 	g.Expect(Choose(Task{Demand: cores(17)}, []Candidate{idle(1)}).Index).To(Equal(None))
-	g.Expect(Choose(Task{Demand: cores(1), MostPerTarget: 1}, []Candidate{used}).Index).To(Equal(None))
+	g.Expect(Choose(Task{Demand: cores(1), MaxPerTarget: 1}, []Candidate{used}).Index).To(Equal(None))
 	g.Expect(Choose(Task{Demand: cores(1)}, nil).Index).To(Equal(None))
 }
 
@@ -100,8 +100,8 @@
 	g := NewWithT(t)
 	fast, slow := idle(1.8), idle(0.8)
 	fast.Free = cores(3)
-	task := Task{Demand: cores(2), EstimateMs: 200, LeftMs: 380}
+	task := Task{Demand: cores(2), EstimateMs: 200, RemainingMs: 380}
 	g.Expect(Choose(task, []Candidate{fast, slow}).Index).To(Equal(1))
-	task.LeftMs = 250
+	task.RemainingMs = 250
 	g.Expect(Choose(task, []Candidate{fast, slow}).Index).To(Equal(0), "the slow one would be late")
 }
--- a/internal/scheduler/earliest/replay_test.go
+++ b/internal/scheduler/earliest/replay_test.go
@@ -83,12 +83,12 @@
 		nowMs += random.ExpFloat64() * perJob / (capacity * l.share)
 		workMs := l.workMs * math.Exp(0.4*random.NormFloat64())
 		estimateMs := workMs * math.Exp(0.3*random.NormFloat64())
-		task := Task{Demand: cores(l.taskCores), EstimateMs: estimateMs, LeftMs: l.stretch*estimateMs + 60}
+		task := Task{Demand: cores(l.taskCores), EstimateMs: estimateMs, RemainingMs: l.stretch*estimateMs + 60}
 		view := f.view(nowMs, l.taskCores)
 		endMs := nowMs
 		for range l.tasks {
 			k := Choose(task, view).Index
-			view[k].Take(task, k)
+			view[k].Reserve(task, k)
 			from := f.start(k, nowMs, l.taskCores)
 			to := from + workMs/f.speeds[k]
 			f.runs[k] = append(f.runs[k], run{l.taskCores, from, to})
--- a/internal/scheduler/estimation/estimator.go
+++ b/internal/scheduler/estimation/estimator.go
@@ -134,9 +134,9 @@
 	return base * math.Exp(c.ratio(b))
 }
 
-// Spread returns the factor, at least 1, by which a run time of the class
+// ErrorFactor returns the factor, at least 1, by which a run time of the class
 // typically differs from what TaskMs says, in either direction.
-func (e *Estimator) Spread(className string) float64 {
+func (e *Estimator) ErrorFactor(className string) float64 {
 	c := e.classes[className]
 	if c == nil {
 		return unknownSpread
--- a/internal/scheduler/grants/grants_test.go
+++ b/internal/scheduler/grants/grants_test.go
@@ -28,15 +28,15 @@
 func (e *entry) unspent() int { return int(e.got - e.used - e.returned) }
 
 type fleet struct {
-	s       *Sharer
+	s       *Allocator
 	entries map[uint64]*entry
 }
 
 func newFleet(slots int, ids ...uint64) *fleet {
-	f := &fleet{NewSharer(), map[uint64]*entry{}}
+	f := &fleet{NewAllocator(), map[uint64]*entry{}}
 	f.s.SetSlots(slots)
 	for _, id := range ids {
-		f.s.OwnerUp(id)
+		f.s.AddOwner(id)
 		f.entries[id] = &entry{id: id}
 	}
 	return f
@@ -45,7 +45,7 @@
 // settle passes changes and demands to and fro until nothing moves.
 func (f *fleet) settle() {
 	for range 100 {
-		changes := f.s.Changes(nil)
+		changes := f.s.Rebalance(nil)
 		for _, c := range changes {
 			e := f.entries[c.Owner]
 			e.got = c.Total
@@ -53,12 +53,12 @@
 				e.used++
 				e.waiting--
 				e.started++
-				Expect(f.s.Spent(e.id)).To(BeTrue())
+				Expect(f.s.Spend(e.id)).To(BeTrue())
 			}
 			e.returned += uint64(min(c.Recall, e.unspent()))
 		}
 		for _, e := range f.entries {
-			Expect(f.s.Demand(e.id, e.waiting, e.rankMs, e.returned)).To(BeTrue())
+			Expect(f.s.SetDemand(e.id, e.waiting, e.rankMs, e.returned)).To(BeTrue())
 		}
 		if len(changes) == 0 {
 			return
@@ -70,7 +70,7 @@
 func (f *fleet) want(id uint64, waiting int, rankMs int64) {
 	e := f.entries[id]
 	e.waiting, e.rankMs = waiting, rankMs
-	f.s.Demand(id, waiting, rankMs, e.returned)
+	f.s.SetDemand(id, waiting, rankMs, e.returned)
 }
 
 var _ = Describe("sharing the slots of a target", func() {
@@ -106,7 +106,7 @@
 		f.want(3, 1, 200)
 		f.settle()
 		Expect(f.entries[2].started).To(Equal(1))
-		f.s.Finished()
+		f.s.Release()
 		f.settle()
 		Expect(f.entries[3].started).To(Equal(1))
 	})
@@ -120,9 +120,9 @@
 		f.want(2, 1000, 500)
 		for range 160 {
 			f.settle()
-			f.s.Finished()
+			f.s.Release()
 		}
-		Expect(f.entries[2].started).To(BeNumerically("~", 160/GuardEvery, 3))
+		Expect(f.entries[2].started).To(BeNumerically("~", 160/StarvationGuardInterval, 3))
 		Expect(f.entries[1].started).To(BeNumerically(">", 130))
 	})
 
@@ -131,7 +131,7 @@
 	It("takes back what a dead entry held", func() {
 		f := newFleet(8, 1, 2)
 		f.settle()
-		f.s.OwnerDown(1)
+		f.s.RemoveOwner(1)
 		delete(f.entries, 1)
 		f.want(2, 8, 0)
 		f.settle()
@@ -167,32 +167,32 @@
 	// called back for it from the others can't be given to it and go back to where
 	// they came from, a message each round trip until the session is found silent.
 	It("leaves idle credits alone while a silent entry owes a return", func() {
-		s := NewSharer()
+		s := NewAllocator()
 		s.SetSlots(2)
-		s.OwnerUp(1)
-		s.OwnerUp(2)
-		s.Changes(nil)
-		Expect(s.Demand(2, 3, 0, 0)).To(BeTrue())
-		s.Changes(nil)                            // owner 1 is asked for its credit and does not hear it
-		Expect(s.Demand(1, 3, 0, 0)).To(BeTrue()) // crossed the recall
-		Expect(s.Demand(2, 0, 0, 0)).To(BeTrue())
+		s.AddOwner(1)
+		s.AddOwner(2)
+		s.Rebalance(nil)
+		Expect(s.SetDemand(2, 3, 0, 0)).To(BeTrue())
+		s.Rebalance(nil)                             // owner 1 is asked for its credit and does not hear it
+		Expect(s.SetDemand(1, 3, 0, 0)).To(BeTrue()) // crossed the recall
+		Expect(s.SetDemand(2, 0, 0, 0)).To(BeTrue())
 		returned := uint64(0)
 		for range 100 {
-			for _, c := range s.Changes(nil) {
+			for _, c := range s.Rebalance(nil) {
 				Expect(c.Owner).To(Equal(uint64(2)))
 				returned += uint64(c.Recall)
-				Expect(s.Demand(2, 0, 0, returned)).To(BeTrue())
+				Expect(s.SetDemand(2, 0, 0, returned)).To(BeTrue())
 			}
 		}
 		Expect(returned).To(BeNumerically("<=", 1))
 	})
 
 	It("refuses a return or a start beyond what an owner holds", func() {
-		s := NewSharer()
-		s.OwnerUp(1)
-		Expect(s.Spent(1)).To(BeFalse())
-		Expect(s.Spent(2)).To(BeFalse())
-		Expect(s.Demand(1, 0, 0, 1)).To(BeFalse())
+		s := NewAllocator()
+		s.AddOwner(1)
+		Expect(s.Spend(1)).To(BeFalse())
+		Expect(s.Spend(2)).To(BeFalse())
+		Expect(s.SetDemand(1, 0, 0, 1)).To(BeFalse())
 	})
 })
 
@@ -202,7 +202,7 @@
 // random, in order on each connection, as on a real one.
 func TestBothSidesCountAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewSharer()
+		s := NewAllocator()
 		slots := rapid.IntRange(1, 9).Draw(t, "slots")
 		s.SetSlots(slots)
 		entries := map[uint64]*entry{}
@@ -210,14 +210,14 @@
 		up := map[uint64][]func(*rapid.T){} // entry to agent
 		var ids []uint64
 		for id := range uint64(rapid.IntRange(1, 4).Draw(t, "owners")) {
-			s.OwnerUp(id)
+			s.AddOwner(id)
 			entries[id] = &entry{id: id}
 			ids = append(ids, id)
 		}
 		sendDemand := func(e *entry) {
 			waiting, rank, returned := e.waiting, e.rankMs, e.returned
 			up[e.id] = append(up[e.id], func(t *rapid.T) {
-				if !s.Demand(e.id, waiting, rank, returned) {
+				if !s.SetDemand(e.id, waiting, rank, returned) {
 					t.Fatalf("the agent disowns a return of owner %d", e.id)
 				}
 			})
@@ -227,7 +227,7 @@
 				e.used++
 				e.waiting--
 				up[e.id] = append(up[e.id], func(t *rapid.T) {
-					if !s.Spent(e.id) {
+					if !s.Spend(e.id) {
 						t.Fatalf("the agent disowns a start of owner %d", e.id)
 					}
 				})
@@ -242,7 +242,7 @@
 			spend(e)
 		}
 		change := func() {
-			for _, c := range s.Changes(nil) {
+			for _, c := range s.Rebalance(nil) {
 				down[c.Owner] = append(down[c.Owner], c)
 			}
 		}
@@ -267,7 +267,7 @@
 			},
 			"finish": func(t *rapid.T) {
 				if s.Running() > 0 {
-					s.Finished()
+					s.Release()
 				}
 			},
 			"slots":  func(t *rapid.T) { s.SetSlots(rapid.IntRange(1, slots).Draw(t, "slots")) },
@@ -292,7 +292,7 @@
 				up[id] = nil
 			}
 			for s.Running() > 0 {
-				s.Finished()
+				s.Release()
 			}
 		}
 		held := 0
@@ -309,20 +309,20 @@
 }
 
 func BenchmarkContestedSlot(b *testing.B) {
-	s := NewSharer()
+	s := NewAllocator()
 	s.SetSlots(8)
 	const owners = 40
 	for id := range uint64(owners) {
-		s.OwnerUp(id)
-		s.Demand(id, 1<<30, int64(id), 0)
+		s.AddOwner(id)
+		s.SetDemand(id, 1<<30, int64(id), 0)
 	}
-	changes := s.Changes(nil)
+	changes := s.Rebalance(nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		for _, c := range changes {
-			s.Spent(c.Owner)
-			s.Finished()
+			s.Spend(c.Owner)
+			s.Release()
 		}
-		changes = s.Changes(changes[:0])
+		changes = s.Rebalance(changes[:0])
 	}
 }
--- a/internal/scheduler/grants/sharer.go
+++ b/internal/scheduler/grants/sharer.go
@@ -19,7 +19,7 @@
 //
 // Ranks contain the entries' clocks and estimates. An entry whose clock lags, or
 // one with a burst of tiny jobs, would rank lowest for ever and starve the
-// others; so every GuardEvery-th contested slot goes to the entry that has waited
+// others; so every StarvationGuardInterval-th contested slot goes to the entry that has waited
 // through the most grants.
 package grants
 
@@ -28,10 +28,10 @@
 	"slices"
 )
 
-// GuardEvery is how often a contested slot goes by turn and not by rank. An
+// StarvationGuardInterval is how often a contested slot goes by turn and not by rank. An
 // eighth of the slots bounds the wait of a starved entry to some tens of
 // milliseconds at a target of 8 slots, and costs the order little.
-const GuardEvery = 8
+const StarvationGuardInterval = 8
 
 // Change is what an owner has to be told.
 type Change struct {
@@ -72,8 +72,8 @@
 // A retired owner gets nothing at all.
 func (o *owner) settled() bool { return o.recalled == 0 && !o.retired }
 
-// Sharer divides slots. It is not safe for concurrent use.
-type Sharer struct {
+// Allocator divides slots. It is not safe for concurrent use.
+type Allocator struct {
 	slots     int
 	running   int
 	owners    []*owner // in the order of their ids
@@ -81,45 +81,45 @@
 	contested int
 }
 
-// NewSharer returns a sharer without slots and owners.
-func NewSharer() *Sharer { return &Sharer{} }
+// NewAllocator returns a sharer without slots and owners.
+func NewAllocator() *Allocator { return &Allocator{} }
 
 // SetSlots sets how many tasks the target runs at a time. 0 calls every credit
 // back, as for a target that is leaving.
-func (s *Sharer) SetSlots(n int) { s.slots = max(n, 0) }
+func (s *Allocator) SetSlots(n int) { s.slots = max(n, 0) }
 
-// OwnerUp adds an owner; one that is already up starts again from zero.
-func (s *Sharer) OwnerUp(id uint64) {
-	s.OwnerDown(id)
+// AddOwner adds an owner; one that is already up starts again from zero.
+func (s *Allocator) AddOwner(id uint64) {
+	s.RemoveOwner(id)
 	i, _ := s.find(id)
 	s.owners = slices.Insert(s.owners, i, &owner{id: id})
 }
 
-// OwnerDown removes an owner and frees its credits. Its running tasks keep their
+// RemoveOwner removes an owner and frees its credits. Its running tasks keep their
 // slots until they finish.
-func (s *Sharer) OwnerDown(id uint64) {
+func (s *Allocator) RemoveOwner(id uint64) {
 	if i, ok := s.find(id); ok {
 		s.owners = slices.Delete(s.owners, i, i+1)
 	}
 }
 
-// Retire stops granting to an owner and calls back what it holds, so that its
+// SetRetired stops granting to an owner and calls back what it holds, so that its
 // connection can be closed without losing a start that is under way on it. With
 // on false, the owner takes part again.
-func (s *Sharer) Retire(id uint64, on bool) {
+func (s *Allocator) SetRetired(id uint64, on bool) {
 	if i, ok := s.find(id); ok {
 		s.owners[i].retired = on
 	}
 }
 
 // Owners returns the number of owners.
-func (s *Sharer) Owners() int { return len(s.owners) }
+func (s *Allocator) Owners() int { return len(s.owners) }
 
 // Running returns the number of tasks that hold a slot.
-func (s *Sharer) Running() int { return s.running }
+func (s *Allocator) Running() int { return s.running }
 
 // Outstanding returns the number of credits that are out.
-func (s *Sharer) Outstanding() int {
+func (s *Allocator) Outstanding() int {
 	n := 0
 	for _, o := range s.owners {
 		n += o.outstanding()
@@ -127,11 +127,11 @@
 	return n
 }
 
-// Demand notes what an owner wants: how many of its tasks wait, the rank of the
+// SetDemand notes what an owner wants: how many of its tasks wait, the rank of the
 // best of them, and how many credits it has handed back since it came up. Starts
-// that came in the same frame are to be counted with Spent first.
+// that came in the same frame are to be counted with Spend first.
 // It reports false when the owner claims to return more than it holds.
-func (s *Sharer) Demand(id uint64, waiting int, rankMs int64, returned uint64) bool {
+func (s *Allocator) SetDemand(id uint64, waiting int, rankMs int64, returned uint64) bool {
 	i, ok := s.find(id)
 	if !ok {
 		return true
@@ -152,9 +152,9 @@
 	return true
 }
 
-// Spent turns one of the owner's credits into a running task. It reports false
+// Spend turns one of the owner's credits into a running task. It reports false
 // when the owner has none, and then changes nothing.
-func (s *Sharer) Spent(id uint64) bool {
+func (s *Allocator) Spend(id uint64) bool {
 	i, ok := s.find(id)
 	if !ok || s.owners[i].outstanding() == 0 {
 		return false
@@ -168,12 +168,12 @@
 	return true
 }
 
-// Finished frees the slot of a running task.
-func (s *Sharer) Finished() { s.running = max(s.running-1, 0) }
+// Release frees the slot of a running task.
+func (s *Allocator) Release() { s.running = max(s.running-1, 0) }
 
-// Changes hands out free slots, decides on recalls, and appends to dst what each
+// Rebalance hands out free slots, decides on recalls, and appends to dst what each
 // owner must be told.
-func (s *Sharer) Changes(dst []Change) []Change {
+func (s *Allocator) Rebalance(dst []Change) []Change {
 	s.grant()
 	s.recall()
 	for _, o := range s.owners {
@@ -185,9 +185,9 @@
 	return dst
 }
 
-func (s *Sharer) free() int { return s.slots - s.running - s.Outstanding() }
+func (s *Allocator) free() int { return s.slots - s.running - s.Outstanding() }
 
-func (s *Sharer) grant() {
+func (s *Allocator) grant() {
 	for n := s.free(); n > 0; n-- {
 		o := s.next()
 		if o == nil {
@@ -198,7 +198,7 @@
 }
 
 // next returns the owner that gets the next free slot, or nil.
-func (s *Sharer) next() *owner {
+func (s *Allocator) next() *owner {
 	waiting := 0
 	for _, o := range s.owners {
 		if o.unmet() > 0 && o.settled() {
@@ -213,7 +213,7 @@
 	}
 	s.contested++
 	rule := byRank
-	if s.contested%GuardEvery == 0 {
+	if s.contested%StarvationGuardInterval == 0 {
 		rule = byPassed
 	}
 	winner := s.best(rule)
@@ -232,7 +232,7 @@
 	return cmp.Or(cmp.Compare(b.passed, a.passed), byRank(a, b))
 }
 
-func (s *Sharer) best(rule func(a, b *owner) int) *owner {
+func (s *Allocator) best(rule func(a, b *owner) int) *owner {
 	var best *owner
 	for _, o := range s.owners {
 		if o.unmet() > 0 && o.settled() && (best == nil || rule(o, best) < 0) {
@@ -243,7 +243,7 @@
 }
 
 // nextIdle returns the owner with the fewest credits, by turn among equals.
-func (s *Sharer) nextIdle() *owner {
+func (s *Allocator) nextIdle() *owner {
 	var best *owner
 	for n := range s.owners {
 		o := s.owners[(s.turn+n)%len(s.owners)]
@@ -257,7 +257,7 @@
 
 // recall asks credits back: all that exceed the slots, else from owners that
 // don't wait as many as others wait for, else one to even out.
-func (s *Sharer) recall() {
+func (s *Allocator) recall() {
 	for _, o := range s.owners {
 		if back := o.outstanding() - o.recalled; o.retired && back > 0 {
 			o.recalled += back
@@ -290,7 +290,7 @@
 }
 
 // callBack asks for n credits, one by one from the owner that can spare most.
-func (s *Sharer) callBack(n int, spare func(*owner) int) {
+func (s *Allocator) callBack(n int, spare func(*owner) int) {
 	for ; n > 0; n-- {
 		var most *owner
 		for _, o := range s.owners {
@@ -306,7 +306,7 @@
 	}
 }
 
-func (s *Sharer) find(id uint64) (int, bool) {
+func (s *Allocator) find(id uint64) (int, bool) {
 	return slices.BinarySearchFunc(s.owners, id, func(o *owner, id uint64) int {
 		return cmp.Compare(o.id, id)
 	})
--- a/internal/scheduler/headroom/headroom.go
+++ b/internal/scheduler/headroom/headroom.go
@@ -39,11 +39,11 @@
 	at   time.Time
 }
 
-// Ended takes a job of any queue that was let in, by its queue's priority: whether it was answered
+// RecordOutcome takes a job of any queue that was let in, by its queue's priority: whether it was answered
 // later than its objective, or given up for want of time. Late jobs make their own queue wait and
 // the less urgent ones, which hold the room that they lack; a queue never waits for a less urgent
 // one.
-func (m *Margin) Ended(now time.Time, priority int, late bool) {
+func (m *Margin) RecordOutcome(now time.Time, priority int, late bool) {
 	m.fade(now)
 	switch {
 	case priority > m.Priority:
@@ -54,8 +54,8 @@
 	}
 }
 
-// Of returns the margin of a job with that objective.
-func (m *Margin) Of(now time.Time, objective time.Duration) time.Duration {
+// For returns the margin of a job with that objective.
+func (m *Margin) For(now time.Time, objective time.Duration) time.Duration {
 	m.fade(now)
 	return time.Duration(m.part * float64(objective))
 }
--- a/internal/scheduler/headroom/headroom_test.go
+++ b/internal/scheduler/headroom/headroom_test.go
@@ -39,7 +39,7 @@
 		history[n] = backlog
 		for len(ends) > 0 && ends[0].at <= n {
 			if margin != nil {
-				margin.Ended(now, 0, ends[0].late)
+				margin.RecordOutcome(now, 0, ends[0].late)
 			}
 			ends = ends[1:]
 		}
@@ -77,7 +77,7 @@
 	if m == nil {
 		return 0
 	}
-	return m.Of(now, objective)
+	return m.For(now, objective)
 }
 
 // Guards against overload in which everything that is let in comes late.
@@ -97,10 +97,10 @@
 	m := &Margin{}
 	now := time.Unix(1_800_000_000, 0)
 	for range 1000 {
-		m.Ended(now, 0, true)
+		m.RecordOutcome(now, 0, true)
 	}
-	g.Expect(m.Of(now, objective)).To(BeNumerically("~", time.Duration(mostShare*float64(objective)), time.Millisecond))
-	g.Expect(m.Of(now.Add(5*halfLife), objective)).To(BeNumerically("<", objective/40))
+	g.Expect(m.For(now, objective)).To(BeNumerically("~", time.Duration(mostShare*float64(objective)), time.Millisecond))
+	g.Expect(m.For(now.Add(5*halfLife), objective)).To(BeNumerically("<", objective/40))
 }
 
 // Guards against refusals in calm times, when a few jobs are late because their run times were
@@ -111,9 +111,9 @@
 	now := time.Unix(1_800_000_000, 0)
 	for n := range 1000 {
 		now = now.Add(tick)
-		m.Ended(now, 0, n%20 == 0)
+		m.RecordOutcome(now, 0, n%20 == 0)
 	}
-	g.Expect(m.Of(now, objective)).To(BeNumerically("<", objective/30))
+	g.Expect(m.For(now, objective)).To(BeNumerically("<", objective/30))
 }
 
 // Guards against less urgent work that takes the room which urgent jobs lack, and against urgent
@@ -124,11 +124,11 @@
 	now := time.Unix(1_800_000_000, 0)
 	for range 20 {
 		for _, m := range []*Margin{urgent, less} {
-			m.Ended(now, 1, true)
+			m.RecordOutcome(now, 1, true)
 		}
 	}
-	g.Expect(urgent.Of(now, objective)).To(BeZero())
-	before := less.Of(now, objective)
-	less.Ended(now, 0, true)
-	g.Expect(less.Of(now, objective)).To(BeNumerically(">", before))
+	g.Expect(urgent.For(now, objective)).To(BeZero())
+	before := less.For(now, objective)
+	less.RecordOutcome(now, 0, true)
+	g.Expect(less.For(now, objective)).To(BeNumerically(">", before))
 }
