--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -66,7 +66,7 @@
 
 func (w *world) load(id ConnID, l *wire.Load) { w.Receive(w.now, id, &wire.LeasedToEntry{Load: l}) }
 
-var queue = &routing.Queue{Name: "q", Service: "s", Guarded: true, MaxAttempts: 2, Stretch: 1.6, Latency: 60 * time.Millisecond}
+var queue = &routing.Queue{Name: "q", Service: "s", EnforcesCapacity: true, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: 60 * time.Millisecond}
 
 // newJob is a job of tasks of 4 cores and 100 ms; its caller wants it in 220 ms and
 // waits for 2 s.
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -47,7 +47,7 @@
 // returns how many it left out because their data centre is evacuated.
 func (c *Core) view(l *liveJob) (evacuated int) {
 	c.candidates, c.viewed = c.candidates[:0], c.viewed[:0]
-	linkWaitMs, firstMs := c.link.WaitMs(c.now), c.link.TakesMs(frameBytes+len(l.Spec))
+	linkWaitMs, firstMs := c.link.WaitMs(c.now), c.link.TransmitMs(frameBytes+len(l.Spec))
 	for _, a := range c.roster {
 		if !a.usable() || a.target.Service != l.Queue.Service {
 			continue
@@ -179,7 +179,7 @@
 	a.nextSeq++
 	at := &attempt{seq: a.nextSeq, run: c.nextRun(l), agent: a, job: l, task: t, placedAt: c.now,
 		expected: clock.FromMillis(choice.EndMs), room: choice.FitsNow}
-	c.link.Sent(c.now, c.sendBytes(a, l))
+	c.link.Enqueue(c.now, c.sendBytes(a, l))
 	t.state, t.attempt = taskPlaced, at
 	a.attempts[at.seq] = at
 	l.open++
@@ -192,7 +192,7 @@
 		Seq: at.seq, Job: l.ID, Step: t.step, Index: t.index, Run: at.run, Spec: l.Spec,
 		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate),
 		SlackMs: int64(slackMs), GiveUpMs: int64(giveUpMs), LimitMs: l.Deadline.Sub(c.now).Milliseconds(),
-		Movable: t.moves < mostMoves, WaitMs: choice.StartMs, Unguarded: !l.Queue.Guarded,
+		Movable: t.moves < mostMoves, WaitMs: choice.StartMs, Unguarded: !l.Queue.EnforcesCapacity,
 	})
 	a.dirty = true
 }
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -190,7 +190,7 @@
 	c.ended(l, answer)
 	c.recallAll(l)
 	c.logAnswer(l, answer)
-	c.link.Sent(c.now, answerBytes*len(l.waiters))
+	c.link.Enqueue(c.now, answerBytes*len(l.waiters))
 	waiters := l.waiters
 	l.waiters = nil
 	for _, w := range waiters {
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -81,7 +81,7 @@
 type state struct {
 	core        *dispatch.Core
 	conf        *confsync.Holder
-	evacuations *evacuation.Holder
+	evacuations *evacuation.Replica
 	// entries are the addresses of dispatchers that runners have named, with their data
 	// centres where known; fresh are those that the runners were not told of yet.
 	entries map[string]string
@@ -136,7 +136,7 @@
 	})
 	s.conf = &confsync.Holder{Adopt: d.adopt}
 	s.conf.Send = func(id confsync.PeerID, note confNote) { s.core.Note(dispatch.ConnID(id), note) }
-	s.evacuations = leased.NewEvacuations(d.log, func(id evacuation.PeerID, list []evacuation.Statement) {
+	s.evacuations = leased.NewEvacuations(d.log, func(id evacuation.PeerID, list []evacuation.Record) {
 		s.core.NoteEvacuations(dispatch.ConnID(id), list)
 	}, s.core.Evacuate)
 	return s
--- a/internal/dispatcher/operator.go
+++ b/internal/dispatcher/operator.go
@@ -14,7 +14,7 @@
 // comes work.
 func (r operatorReader) Snapshot(entries []platformlog.Entry, end uint64) {
 	listed := r.o.Operator.Evacuations(r.log, entries...)
-	r.do(func(now time.Time, s *state) { s.evacuations.Listed(now, listed, end) })
+	r.do(func(now time.Time, s *state) { s.evacuations.MergeSnapshot(now, listed, end) })
 	for _, e := range entries {
 		r.configured(e)
 	}
@@ -23,7 +23,7 @@
 // Changed implements platformlog.Reader.
 func (r operatorReader) Changed(e platformlog.Entry) {
 	for _, statement := range r.o.Operator.Evacuations(r.log, e) {
-		r.do(func(now time.Time, s *state) { s.evacuations.Read(now, statement) })
+		r.do(func(now time.Time, s *state) { s.evacuations.MergeRecord(now, statement) })
 	}
 	r.configured(e)
 }
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -93,7 +93,7 @@
 		if f.Leased == nil {
 			return
 		}
-		s.evacuations.Heard(now, evacuation.PeerID(r.id), f.Leased.Evacuations)
+		s.evacuations.MergeFromPeer(now, evacuation.PeerID(r.id), f.Leased.Evacuations)
 		s.core.Receive(now, r.id, f.Leased)
 		r.heardConfig(now, s, f.Leased.Config)
 	})
@@ -121,7 +121,7 @@
 		s.learn(r.o.InnerAddr, h.Entries)
 		s.core.Connect(now, r.id, h)
 		s.core.Pace(r.id, s.loadEvery)
-		s.evacuations.Up(evacuation.PeerID(r.id))
+		s.evacuations.PeerUp(evacuation.PeerID(r.id))
 		s.conf.Up(confsync.PeerID(r.id))
 	})
 }
@@ -153,8 +153,8 @@
 
 // pace tells the runners how often to report the load, where that has changed.
 func (s *sessions) pace(st *state) {
-	every := reporting.Every(s.o.ProcessorShare, len(s.conns))
-	if len(s.conns) == 0 || !reporting.Differs(every, st.loadEvery) {
+	every := reporting.Interval(s.o.ProcessorShare, len(s.conns))
+	if len(s.conns) == 0 || !reporting.SignificantChange(every, st.loadEvery) {
 		return
 	}
 	event.Log(s.log, event.ReportsPaced, "every_ms", clock.Millis(every), "was_ms", clock.Millis(st.loadEvery), "runners", len(s.conns))
@@ -191,7 +191,7 @@
 	_ = r.loop.Push(func(now time.Time, s *state) {
 		delete(r.conns, r.id)
 		s.core.Disconnect(now, r.id)
-		s.evacuations.Down(evacuation.PeerID(r.id))
+		s.evacuations.PeerDown(evacuation.PeerID(r.id))
 		s.conf.Down(confsync.PeerID(r.id))
 	})
 }
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -24,17 +24,17 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Statement is what a log record says of one data centre.
-type Statement = wire.Evacuation
+// Record is what a log record says of one data centre.
+type Record = wire.Evacuation
 
 // mostStatements bounds what is remembered; the oldest lifted evacuations go first.
 const mostStatements = 256
 
 // set holds the newest statement on each data centre.
-type set map[string]Statement
+type set map[string]Record
 
 // take merges a statement, and reports whether it is news.
-func (s set) take(n Statement) bool {
+func (s set) take(n Record) bool {
 	old, known := s[n.DataCentre]
 	if known && !newer(n, old) {
 		return false
@@ -46,7 +46,7 @@
 	return true
 }
 
-func newer(n, old Statement) bool {
+func newer(n, old Record) bool {
 	if n.Offset != old.Offset {
 		return n.Offset > old.Offset
 	}
@@ -55,7 +55,7 @@
 
 // evict forgets the oldest lifted evacuation. Those in force are kept, however many.
 func (s set) evict() {
-	oldest, found := Statement{}, false
+	oldest, found := Record{}, false
 	for _, st := range s {
 		if st.Lifted && (!found || st.Offset < oldest.Offset) {
 			oldest, found = st, true
@@ -68,24 +68,24 @@
 
 // missing returns what a list of the newest keys, read below the offset end, says of the
 // data centres that it lacks.
-func (s set) missing(listed []Statement, end uint64) []Statement {
-	var lifted []Statement
+func (s set) missing(listed []Record, end uint64) []Record {
+	var lifted []Record
 	for name, st := range s {
-		isListed := slices.ContainsFunc(listed, func(l Statement) bool { return l.DataCentre == name })
+		isListed := slices.ContainsFunc(listed, func(l Record) bool { return l.DataCentre == name })
 		if st.Lifted || st.Offset >= end || isListed {
 			continue
 		}
-		lifted = append(lifted, Statement{DataCentre: name, Offset: end - 1, Lifted: true})
+		lifted = append(lifted, Record{DataCentre: name, Offset: end - 1, Lifted: true})
 	}
 	return lifted
 }
 
-func (s set) sorted() []Statement {
-	all := make([]Statement, 0, len(s))
+func (s set) sorted() []Record {
+	all := make([]Record, 0, len(s))
 	for _, st := range s {
 		all = append(all, st)
 	}
-	slices.SortFunc(all, func(a, b Statement) int { return cmp.Compare(a.DataCentre, b.DataCentre) })
+	slices.SortFunc(all, func(a, b Record) int { return cmp.Compare(a.DataCentre, b.DataCentre) })
 	return all
 }
 
@@ -95,12 +95,12 @@
 // fromLog is the source of what this process has read from the log itself.
 const fromLog PeerID = 0
 
-// Holder has what this process knows, and passes it on. It is not safe for concurrent use.
-type Holder struct {
+// Replica has what this process knows, and passes it on. It is not safe for concurrent use.
+type Replica struct {
 	// Send queues statements for a peer.
-	Send func(PeerID, []Statement)
-	// Changed is told of each statement that is news; peer is 0 where the log said so.
-	Changed func(now time.Time, s Statement, peer PeerID)
+	Send func(PeerID, []Record)
+	// OnChange is told of each statement that is news; peer is 0 where the log said so.
+	OnChange func(now time.Time, s Record, peer PeerID)
 
 	known set
 	peers map[PeerID]struct{}
@@ -108,9 +108,9 @@
 	below uint64
 }
 
-// Up tells that a session is open. The peer is told everything: it may know older
+// PeerUp tells that a session is open. The peer is told everything: it may know older
 // statements, and a lifted evacuation must outdate those.
-func (h *Holder) Up(id PeerID) {
+func (h *Replica) PeerUp(id PeerID) {
 	if h.peers == nil {
 		h.peers = map[PeerID]struct{}{}
 	}
@@ -120,29 +120,29 @@
 	}
 }
 
-// Down tells that a session has ended.
-func (h *Holder) Down(id PeerID) { delete(h.peers, id) }
+// PeerDown tells that a session has ended.
+func (h *Replica) PeerDown(id PeerID) { delete(h.peers, id) }
 
-// Heard takes a peer's statements.
-func (h *Holder) Heard(now time.Time, id PeerID, statements []Statement) {
+// MergeFromPeer takes a peer's statements.
+func (h *Replica) MergeFromPeer(now time.Time, id PeerID, statements []Record) {
 	h.merge(now, id, statements)
 }
 
-// Read takes a record of the log.
-func (h *Holder) Read(now time.Time, s Statement) { h.merge(now, fromLog, []Statement{s}) }
+// MergeRecord takes a record of the log.
+func (h *Replica) MergeRecord(now time.Time, s Record) { h.merge(now, fromLog, []Record{s}) }
 
-// Listed takes all evacuations among the newest keys of the log, which were read below the
+// MergeSnapshot takes all evacuations among the newest keys of the log, which were read below the
 // offset end.
-func (h *Holder) Listed(now time.Time, listed []Statement, end uint64) {
+func (h *Replica) MergeSnapshot(now time.Time, listed []Record, end uint64) {
 	h.merge(now, fromLog, append(h.known.missing(listed, end), listed...))
 	h.below = max(h.below, end)
 }
 
-func (h *Holder) merge(now time.Time, from PeerID, statements []Statement) {
+func (h *Replica) merge(now time.Time, from PeerID, statements []Record) {
 	if h.known == nil {
 		h.known = set{}
 	}
-	var news []Statement
+	var news []Record
 	corrects := false
 	for _, s := range statements {
 		current := h.corrected(s)
@@ -151,7 +151,7 @@
 		}
 		corrects = corrects || current != s
 		news = append(news, current)
-		h.Changed(now, current, from)
+		h.OnChange(now, current, from)
 	}
 	if len(news) == 0 {
 		return
@@ -165,10 +165,10 @@
 
 // corrected returns what holds of a data centre given that the newest list lacks it, where it
 // does; else the statement itself.
-func (h *Holder) corrected(s Statement) Statement {
+func (h *Replica) corrected(s Record) Record {
 	known, is := h.known[s.DataCentre]
 	if s.Lifted || s.Offset >= h.below || is && !known.Lifted {
 		return s
 	}
-	return Statement{DataCentre: s.DataCentre, Offset: h.below - 1, Lifted: true}
+	return Record{DataCentre: s.DataCentre, Offset: h.below - 1, Lifted: true}
 }
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -10,15 +10,15 @@
 
 // holder is a Holder that keeps what it was told and what it sends.
 type holder struct {
-	Holder
+	Replica
 	out  map[string]bool
-	sent map[PeerID][]Statement
+	sent map[PeerID][]Record
 }
 
 func newHolder() *holder {
-	h := &holder{out: map[string]bool{}, sent: map[PeerID][]Statement{}}
-	h.Send = func(id PeerID, list []Statement) { h.sent[id] = append(h.sent[id], list...) }
-	h.Changed = func(_ time.Time, s Statement, _ PeerID) { h.out[s.DataCentre] = !s.Lifted }
+	h := &holder{out: map[string]bool{}, sent: map[PeerID][]Record{}}
+	h.Send = func(id PeerID, list []Record) { h.sent[id] = append(h.sent[id], list...) }
+	h.OnChange = func(_ time.Time, s Record, _ PeerID) { h.out[s.DataCentre] = !s.Lifted }
 	return h
 }
 
@@ -27,30 +27,30 @@
 // Guards against a delayed peer that brings an evacuation back after it was lifted.
 func TestLiftedEvacuationOutdatesAnOlderOne(t *testing.T) {
 	g, h := NewWithT(t), newHolder()
-	h.Up(1)
-	h.Read(now, Statement{DataCentre: "a", Offset: 4})
-	h.Read(now, Statement{DataCentre: "a", Offset: 7, Lifted: true})
-	h.Heard(now, 1, []Statement{{DataCentre: "a", Offset: 4}})
+	h.PeerUp(1)
+	h.MergeRecord(now, Record{DataCentre: "a", Offset: 4})
+	h.MergeRecord(now, Record{DataCentre: "a", Offset: 7, Lifted: true})
+	h.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 4}})
 	g.Expect(h.out).To(HaveKeyWithValue("a", false))
-	h.Up(2)
-	g.Expect(h.sent[2]).To(ConsistOf(Statement{DataCentre: "a", Offset: 7, Lifted: true}))
+	h.PeerUp(2)
+	g.Expect(h.sent[2]).To(ConsistOf(Record{DataCentre: "a", Offset: 7, Lifted: true}))
 }
 
 // Guards against targets that stay idle for good: the log has forgotten the record that
 // lifted their evacuation, and only a key is missing.
 func TestKeyThatIsMissingLiftsAnEvacuation(t *testing.T) {
 	g, h := NewWithT(t), newHolder()
-	h.Read(now, Statement{DataCentre: "a", Offset: 4})
-	h.Read(now, Statement{DataCentre: "b", Offset: 5})
-	h.Listed(now, []Statement{{DataCentre: "b", Offset: 5}}, 9)
+	h.MergeRecord(now, Record{DataCentre: "a", Offset: 4})
+	h.MergeRecord(now, Record{DataCentre: "b", Offset: 5})
+	h.MergeSnapshot(now, []Record{{DataCentre: "b", Offset: 5}}, 9)
 	g.Expect(h.out).To(Equal(map[string]bool{"a": false, "b": true}))
 }
 
 // Guards against a list that was read before an evacuation and ends it.
 func TestOlderListLeavesANewerEvacuation(t *testing.T) {
 	g, h := NewWithT(t), newHolder()
-	h.Heard(now, 1, []Statement{{DataCentre: "a", Offset: 9}})
-	h.Listed(now, nil, 9)
+	h.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 9}})
+	h.MergeSnapshot(now, nil, 9)
 	g.Expect(h.out).To(HaveKeyWithValue("a", true))
 }
 
@@ -58,11 +58,11 @@
 // because the list's end is right behind its record.
 func TestEvacuationLiftedBetweenTwoPages(t *testing.T) {
 	g, h := NewWithT(t), newHolder()
-	h.Read(now, Statement{DataCentre: "a", Offset: 8})
-	h.Listed(now, nil, 9)
+	h.MergeRecord(now, Record{DataCentre: "a", Offset: 8})
+	h.MergeSnapshot(now, nil, 9)
 	g.Expect(h.out).To(HaveKeyWithValue("a", false))
-	h.Read(now, Statement{DataCentre: "a", Offset: 9, Lifted: true})
-	h.Read(now, Statement{DataCentre: "a", Offset: 10})
+	h.MergeRecord(now, Record{DataCentre: "a", Offset: 9, Lifted: true})
+	h.MergeRecord(now, Record{DataCentre: "a", Offset: 10})
 	g.Expect(h.out).To(HaveKeyWithValue("a", true))
 }
 
@@ -70,19 +70,19 @@
 // process that has read the log was started.
 func TestStarterCorrectsAPeer(t *testing.T) {
 	g, h := NewWithT(t), newHolder()
-	h.Listed(now, nil, 9)
-	h.Up(1)
-	h.Heard(now, 1, []Statement{{DataCentre: "a", Offset: 4}})
+	h.MergeSnapshot(now, nil, 9)
+	h.PeerUp(1)
+	h.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 4}})
 	g.Expect(h.out).NotTo(HaveKeyWithValue("a", true))
-	g.Expect(h.sent[1]).To(ConsistOf(Statement{DataCentre: "a", Offset: 8, Lifted: true}))
+	g.Expect(h.sent[1]).To(ConsistOf(Record{DataCentre: "a", Offset: 8, Lifted: true}))
 }
 
 // Guards against beliefs that depend on the order in which statements arrive, and against
 // statements that circle between peers.
 func TestBeliefsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Statement {
-			return Statement{DataCentre: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "data centre"), Lifted: rapid.Bool().Draw(t, "lifted")}
+		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
+			return Record{DataCentre: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "data centre"), Lifted: rapid.Bool().Draw(t, "lifted")}
 		}), 1, 12).Draw(t, "records")
 		truth := map[string]bool{}
 		for i := range records {
@@ -90,10 +90,10 @@
 			truth[records[i].DataCentre] = !records[i].Lifted
 		}
 		x, y := newHolder(), newHolder()
-		x.Up(1)
-		y.Up(1)
+		x.PeerUp(1)
+		y.PeerUp(1)
 		for _, i := range rapid.Permutation(index(len(records))).Draw(t, "order of x") {
-			x.Read(now, records[i])
+			x.MergeRecord(now, records[i])
 		}
 		for range 3 * len(records) {
 			exchange(now, x, y)
@@ -121,6 +121,6 @@
 func exchange(now time.Time, x, y *holder) {
 	toX, toY := y.sent[1], x.sent[1]
 	x.sent[1], y.sent[1] = nil, nil
-	x.Heard(now, 1, toX)
-	y.Heard(now, 1, toY)
+	x.MergeFromPeer(now, 1, toX)
+	y.MergeFromPeer(now, 1, toY)
 }
--- a/internal/leased/evacuations.go
+++ b/internal/leased/evacuations.go
@@ -19,8 +19,8 @@
 }
 
 // Evacuations returns what entries of the operator's topic say of evacuations.
-func (o Operator) Evacuations(log logr.Logger, entries ...platformlog.Entry) []evacuation.Statement {
-	var statements []evacuation.Statement
+func (o Operator) Evacuations(log logr.Logger, entries ...platformlog.Entry) []evacuation.Record {
+	var statements []evacuation.Record
 	for _, e := range entries {
 		dataCentre, ok := o.Evacuation(e.Key)
 		if !ok {
@@ -30,22 +30,22 @@
 			event.Log(log, event.EvacuationBad, "topic", o.Topic, "key", e.Key, "offset", e.Offset)
 			continue
 		}
-		statements = append(statements, evacuation.Statement{DataCentre: dataCentre, Offset: e.Offset, Lifted: len(e.Value) == 0})
+		statements = append(statements, evacuation.Record{DataCentre: dataCentre, Offset: e.Offset, Lifted: len(e.Value) == 0})
 	}
 	return statements
 }
 
 // NewEvacuations returns what a daemon knows of evacuations: send passes it on, and evacuate puts
 // what changes into force.
-func NewEvacuations(log logr.Logger, send func(evacuation.PeerID, []evacuation.Statement), evacuate func(now time.Time, dataCentre string, lifted bool)) *evacuation.Holder {
-	return &evacuation.Holder{Send: send, Changed: func(now time.Time, s evacuation.Statement, peer evacuation.PeerID) {
+func NewEvacuations(log logr.Logger, send func(evacuation.PeerID, []evacuation.Record), evacuate func(now time.Time, dataCentre string, lifted bool)) *evacuation.Replica {
+	return &evacuation.Replica{Send: send, OnChange: func(now time.Time, s evacuation.Record, peer evacuation.PeerID) {
 		logEvacuation(log, s, peer)
 		evacuate(now, s.DataCentre, s.Lifted)
 	}}
 }
 
 // logEvacuation writes the line of a changed belief.
-func logEvacuation(log logr.Logger, s evacuation.Statement, peer evacuation.PeerID) {
+func logEvacuation(log logr.Logger, s evacuation.Record, peer evacuation.PeerID) {
 	id, from := event.EvacuationBegun, "log"
 	if s.Lifted {
 		id = event.EvacuationLifted
--- a/internal/leased/schedule_test.go
+++ b/internal/leased/schedule_test.go
@@ -129,7 +129,7 @@
 	o.w.at(step, func() {
 		if s.hostUp && !s.lossy {
 			h := o.w.hosts[s.host]
-			h.belief.Heard(o.w.now, evacuation.PeerID(s.id), f.Leased.Evacuations)
+			h.belief.MergeFromPeer(o.w.now, evacuation.PeerID(s.id), f.Leased.Evacuations)
 			h.table.Receive(o.w.now, runs.ConnID(s.id), f.Leased)
 		}
 	})
@@ -143,7 +143,7 @@
 	o.w.at(step, func() {
 		if s.entryUp && !s.lossy {
 			e := o.w.entries[s.entry]
-			e.belief.Heard(o.w.now, evacuation.PeerID(s.id), f.Leased.Evacuations)
+			e.belief.MergeFromPeer(o.w.now, evacuation.PeerID(s.id), f.Leased.Evacuations)
 			e.Receive(o.w.now, dispatch.ConnID(s.id), f.Leased)
 		}
 	})
@@ -155,9 +155,9 @@
 	s := &simSession{id: w.lastID, entry: entry, host: host, entryUp: true, hostUp: true}
 	w.sessions[s.id] = s
 	w.entries[entry].Connect(w.now, dispatch.ConnID(s.id), &wire.Hello{Worker: fmt.Sprint(host), DataCentre: dataCentre(host)})
-	w.entries[entry].belief.Up(evacuation.PeerID(s.id))
+	w.entries[entry].belief.PeerUp(evacuation.PeerID(s.id))
 	w.hosts[host].table.Connect(w.now, runs.ConnID(s.id))
-	w.hosts[host].belief.Up(evacuation.PeerID(s.id))
+	w.hosts[host].belief.PeerUp(evacuation.PeerID(s.id))
 }
 
 // cut ends a session; each end notices after a time of its own, and a new session follows.
@@ -171,14 +171,14 @@
 		if s.entryUp {
 			s.entryUp = false
 			w.entries[s.entry].Disconnect(w.now, dispatch.ConnID(s.id))
-			w.entries[s.entry].belief.Down(evacuation.PeerID(s.id))
+			w.entries[s.entry].belief.PeerDown(evacuation.PeerID(s.id))
 		}
 	})
 	w.at(hostAfter, func() {
 		if s.hostUp {
 			s.hostUp = false
 			w.hosts[s.host].table.Disconnect(w.now, runs.ConnID(s.id))
-			w.hosts[s.host].belief.Down(evacuation.PeerID(s.id))
+			w.hosts[s.host].belief.PeerDown(evacuation.PeerID(s.id))
 		}
 	})
 	w.at(max(entryAfter, hostAfter)+50*time.Millisecond, func() { w.connect(s.entry, s.host) })
@@ -197,7 +197,7 @@
 	h.announce()
 }
 
-var simQueue = &routing.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Latency: 900 * time.Millisecond}
+var simQueue = &routing.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, LatencyAllowance: 900 * time.Millisecond}
 
 // submit hands a job in, as its caller does.
 func (w *simWorld) submit(j *simJob, entry int) {
--- a/internal/leased/simhost_test.go
+++ b/internal/leased/simhost_test.go
@@ -15,7 +15,7 @@
 	table  *runs.Table
 	target *simTarget
 	seq    uint64
-	belief *evacuation.Holder
+	belief *evacuation.Replica
 	// evacuated are the data centres of which the runner has heard that.
 	evacuated map[string]bool
 }
--- a/internal/leased/simlog_test.go
+++ b/internal/leased/simlog_test.go
@@ -19,18 +19,18 @@
 
 // simLog is the operators' part of the platform's log.
 type simLog struct {
-	records []evacuation.Statement // an offset each
+	records []evacuation.Record // an offset each
 	first   int                    // the lowest offset that is kept
 	since   map[string]time.Time   // of the evacuations in force
-	newest  map[string]evacuation.Statement
+	newest  map[string]evacuation.Record
 }
 
 // write adds a record.
 func (l *simLog) write(w *simWorld, dataCentre string, lifted bool) {
-	s := evacuation.Statement{DataCentre: dataCentre, Offset: uint64(len(l.records)), Lifted: lifted}
+	s := evacuation.Record{DataCentre: dataCentre, Offset: uint64(len(l.records)), Lifted: lifted}
 	l.records = append(l.records, s)
 	if l.newest == nil {
-		l.newest, l.since = map[string]evacuation.Statement{}, map[string]time.Time{}
+		l.newest, l.since = map[string]evacuation.Record{}, map[string]time.Time{}
 	}
 	_, before := l.since[dataCentre]
 	switch {
@@ -44,8 +44,8 @@
 }
 
 // listed returns the evacuations among the newest keys: a lifted one is no key any more.
-func (l *simLog) listed() []evacuation.Statement {
-	var list []evacuation.Statement
+func (l *simLog) listed() []evacuation.Record {
+	var list []evacuation.Record
 	for _, s := range l.newest {
 		if !s.Lifted {
 			list = append(list, s)
@@ -57,7 +57,7 @@
 // simEntry is an entry with what it has read of the log.
 type simEntry struct {
 	*dispatch.Core
-	belief     *evacuation.Holder
+	belief     *evacuation.Replica
 	next       int
 	reread     bool
 	turnedAway bool
@@ -66,9 +66,9 @@
 
 func (e *simEntry) believe() {
 	e.evacuated = map[string]bool{}
-	e.belief = &evacuation.Holder{
-		Send: func(id evacuation.PeerID, list []evacuation.Statement) { e.NoteEvacuations(dispatch.ConnID(id), list) },
-		Changed: func(now time.Time, s evacuation.Statement, _ evacuation.PeerID) {
+	e.belief = &evacuation.Replica{
+		Send: func(id evacuation.PeerID, list []evacuation.Record) { e.NoteEvacuations(dispatch.ConnID(id), list) },
+		OnChange: func(now time.Time, s evacuation.Record, _ evacuation.PeerID) {
 			e.evacuated[s.DataCentre] = !s.Lifted
 			e.Evacuate(now, s.DataCentre, s.Lifted)
 		},
@@ -81,11 +81,11 @@
 	case e.turnedAway:
 		e.reread = true
 	case e.reread || e.next < w.log.first:
-		e.belief.Listed(w.now, w.log.listed(), uint64(len(w.log.records)))
+		e.belief.MergeSnapshot(w.now, w.log.listed(), uint64(len(w.log.records)))
 		e.next, e.reread = len(w.log.records), false
 	default:
 		for ; e.next < len(w.log.records); e.next++ {
-			e.belief.Read(w.now, w.log.records[e.next])
+			e.belief.MergeRecord(w.now, w.log.records[e.next])
 		}
 	}
 }
@@ -93,9 +93,9 @@
 func (h *simHost) believe() {
 	table := h.table
 	h.evacuated = map[string]bool{}
-	h.belief = &evacuation.Holder{
+	h.belief = &evacuation.Replica{
 		Send: func(id evacuation.PeerID, list []wire.Evacuation) { table.NoteEvacuations(runs.ConnID(id), list) },
-		Changed: func(now time.Time, s evacuation.Statement, _ evacuation.PeerID) {
+		OnChange: func(now time.Time, s evacuation.Record, _ evacuation.PeerID) {
 			h.evacuated[s.DataCentre] = !s.Lifted
 			table.Evacuate(now, s.DataCentre, s.Lifted)
 		},
--- a/internal/owner/admit.go
+++ b/internal/owner/admit.go
@@ -152,7 +152,7 @@
 	jobs := make([]shedding.Job, len(waiting))
 	for i, l := range waiting {
 		jobs[i] = shedding.Job{
-			RemainingMs: l.remainingMs, LongestMs: l.longestMs, Begun: l.mayHaveRun,
+			RemainingMs: l.remainingMs, LongestMs: l.longestMs, Started: l.mayHaveRun,
 			DeadlineIn: l.sub.ID.Deadline.Sub(now),
 		}
 	}
--- a/internal/owner/board.go
+++ b/internal/owner/board.go
@@ -158,7 +158,7 @@
 	drained                  bool       // by the operators
 	owners                   int        // that share the target, this one included
 	inUse                    job.Demand // by this owner's attempts
-	gap                      placement.CreditGap
+	gap                      placement.CreditInterval
 	demand                   wire.Demand // as last sent
 	declinedUntil            time.Time   // credits came back unused; none are asked for until then
 
--- a/internal/owner/choose.go
+++ b/internal/owner/choose.go
@@ -13,13 +13,13 @@
 func (p Policy) rules() (queueing.Policy, placement.Policy) {
 	switch p {
 	case PolicyFirstCome:
-		return queueing.FirstCome, placement.AnyFree
+		return queueing.FCFS, placement.AnyFree
 	case PolicyRandom:
-		return queueing.FirstCome, placement.Random
+		return queueing.FCFS, placement.Random
 	case PolicyTwoChoices:
-		return queueing.FirstCome, placement.TwoChoices
+		return queueing.FCFS, placement.TwoChoices
 	default:
-		return queueing.LeastWork, placement.Late
+		return queueing.LeastWork, placement.EarliestFinish
 	}
 }
 
@@ -39,7 +39,7 @@
 func (c *Core) candidate(now time.Time, a *agent) placement.Candidate {
 	id := uint64(a.incarnation)
 	return placement.Candidate{
-		Agent:      id,
+		AgentID:      id,
 		Classes:    a.target.Classes,
 		Speed:      c.speed(now, a),
 		Credits:    a.credits(),
@@ -49,7 +49,7 @@
 		Rack:       a.rack,
 		DataCentre: a.dataCentre,
 		Local:      a.dataCentre == c.opts.DataCentre,
-		Allowance:  c.health.Allowance(id, now),
+		MaxInFlight:  c.health.MaxInFlight(id, now),
 	}
 }
 
@@ -70,7 +70,7 @@
 		EstimateMs: l.tasks[task].estimateMs,
 		Demand:     l.sub.Tasks[task].Demand,
 		SlackMs:    slackMs,
-		Spread:     c.estimator.ErrorFactor(l.sub.Class),
+		ErrorFactor:     c.estimator.ErrorFactor(l.sub.Class),
 		DeadlineIn: l.sub.ID.Deadline.Sub(now),
 	}
 	if l.sub.SpreadRacks {
--- a/internal/owner/configure.go
+++ b/internal/owner/configure.go
@@ -37,8 +37,8 @@
 		quotas: s,
 	}
 	c.health.SetLimits(health.Limits{
-		BrokenRate: float64(s.BrokenPercent) / 100,
-		FirstTrial: millis(s.FirstTrialMs), LastTrial: millis(s.LastTrialMs),
+		BrokenFailureRate: float64(s.BrokenPercent) / 100,
+		InitialTrialInterval: millis(s.FirstTrialMs), MaxTrialInterval: millis(s.LastTrialMs),
 	})
 	c.limiter.SetLimits(s.Quotas())
 	c.limiter.SetDefault(int(s.DefaultQuota))
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -147,7 +147,7 @@
 	}
 	team := c.team(l.sub.Team)
 	team.waiting += by
-	c.limiter.Waiting(l.sub.Team, team.waiting)
+	c.limiter.SetWaiting(l.sub.Team, team.waiting)
 }
 
 // enqueue puts a job with waiting tasks into the ready queue, moves it there after
--- a/internal/owner/sessions.go
+++ b/internal/owner/sessions.go
@@ -141,7 +141,7 @@
 		return breach("credits went back")
 	}
 	if k.Total > a.granted {
-		a.gap.Granted(int(k.Total-a.granted), now)
+		a.gap.ObserveGrant(int(k.Total-a.granted), now)
 	}
 	a.granted = k.Total
 	if back := min(k.Recall, a.credits()); back > 0 {
--- a/internal/owner/settle.go
+++ b/internal/owner/settle.go
@@ -66,7 +66,7 @@
 
 // outcomeKind maps a report to what it says about the target; counts is false
 // where it says nothing.
-func outcomeKind(r *wire.Report) (kind health.Kind, counts bool) {
+func outcomeKind(r *wire.Report) (kind health.Outcome, counts bool) {
 	switch {
 	case r.State == wire.Succeeded:
 		return health.Succeeded, true
@@ -75,7 +75,7 @@
 	case r.State == wire.Unknown:
 		return health.Lost, true
 	case r.Reason == wire.ReasonTarget, r.Reason == wire.ReasonLate:
-		return health.TurnedAway, true
+		return health.Rejected, true
 	}
 	return health.Succeeded, false
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -23,24 +23,24 @@
 	// Stretch and Latency give the time by which a job should be answered: Stretch
 	// times its longest chain of work, and Latency more.
 	Stretch float64
-	Latency time.Duration
+	LatencyAllowance time.Duration
 	Timeout time.Duration // longest time of a request; 0: none
-	// Guarded says that the service's targets turn away what exceeds their capacity.
-	Guarded bool
-	// Advised queues may run a step only on targets that a service outside names.
-	Advised bool
+	// EnforcesCapacity says that the service's targets turn away what exceeds their capacity.
+	EnforcesCapacity bool
+	// RequiresAdvice queues may run a step only on targets that a service outside names.
+	RequiresAdvice bool
 }
 
 // Objective returns the time by which a job with the given chain of work should be
 // answered.
 func (q *Queue) Objective(chain time.Duration) time.Duration {
-	return time.Duration(q.Stretch*float64(chain)) + q.Latency
+	return time.Duration(q.Stretch*float64(chain)) + q.LatencyAllowance
 }
 
 // Service is a pool of targets.
 type Service struct {
 	Name    string
-	Guarded bool // its targets turn away what exceeds their capacity
+	EnforcesCapacity bool // its targets turn away what exceeds their capacity
 }
 
 // Limits bound what callers may send.
@@ -65,8 +65,8 @@
 func New(version uint64, queues []*Queue, services []Service, limits Limits) *Table {
 	t := &Table{Version: version, Services: services, Limits: limits, byHost: map[string][]*Queue{}, count: len(queues)}
 	for _, q := range queues {
-		q.Guarded = slices.ContainsFunc(services, func(s Service) bool { return s.Name == q.Service && s.Guarded })
-		host := Host(q.Host)
+		q.EnforcesCapacity = slices.ContainsFunc(services, func(s Service) bool { return s.Name == q.Service && s.EnforcesCapacity })
+		host := CanonicalHost(q.Host)
 		t.byHost[host] = append(t.byHost[host], q)
 	}
 	for _, list := range t.byHost {
@@ -78,10 +78,10 @@
 // Len returns the number of queues.
 func (t *Table) Len() int { return t.count }
 
-// Find returns the queue of a request, by its host and the longest prefix that its
+// Match returns the queue of a request, by its host and the longest prefix that its
 // path begins with, or nil.
-func (t *Table) Find(host, path string) *Queue {
-	for _, q := range t.byHost[Host(host)] {
+func (t *Table) Match(host, path string) *Queue {
+	for _, q := range t.byHost[CanonicalHost(host)] {
 		if strings.HasPrefix(path, q.PathPrefix) {
 			return q
 		}
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// Host returns a host name in the form in which it is compared.
-func Host(host string) string {
+// CanonicalHost returns a host name in the form in which it is compared.
+func CanonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/internal/runner/entrysession.go
+++ b/internal/runner/entrysession.go
@@ -60,7 +60,7 @@
 		if st.sessions[s.id] == nil {
 			return // ended while the frame waited
 		}
-		st.evacuations.Heard(now, evacuation.PeerID(s.id), f.Leased.Evacuations)
+		st.evacuations.MergeFromPeer(now, evacuation.PeerID(s.id), f.Leased.Evacuations)
 		st.table.Receive(now, s.id, f.Leased)
 		if err := st.conf.Heard(now, confsync.PeerID(s.id), f.Leased.Config); err != nil {
 			event.Log(s.log, event.ConfigBad, "conn", uint64(s.id), "error", err.Error())
@@ -88,7 +88,7 @@
 	s.do(func(now time.Time, st *state) {
 		st.sessions[s.id] = s
 		st.table.Connect(now, s.id)
-		st.evacuations.Up(evacuation.PeerID(s.id))
+		st.evacuations.PeerUp(evacuation.PeerID(s.id))
 		st.conf.Up(confsync.PeerID(s.id))
 	})
 	s.dialers.opened(s.addr, w.DataCentre, s.id)
@@ -111,7 +111,7 @@
 	s.do(func(now time.Time, st *state) {
 		delete(st.sessions, s.id)
 		st.table.Disconnect(now, s.id)
-		st.evacuations.Down(evacuation.PeerID(s.id))
+		st.evacuations.PeerDown(evacuation.PeerID(s.id))
 		st.conf.Down(confsync.PeerID(s.id))
 	})
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -79,7 +79,7 @@
 type state struct {
 	table       *runs.Table
 	conf        *confsync.Holder
-	evacuations *evacuation.Holder
+	evacuations *evacuation.Replica
 	sessions    map[runs.ConnID]*entrySession
 }
 
@@ -133,7 +133,7 @@
 		return nil
 	}}
 	s.conf.Send = func(id confsync.PeerID, note wire.ConfigNote) { s.table.Note(runs.ConnID(id), note) }
-	s.evacuations = leased.NewEvacuations(r.log, func(id evacuation.PeerID, list []evacuation.Statement) {
+	s.evacuations = leased.NewEvacuations(r.log, func(id evacuation.PeerID, list []evacuation.Record) {
 		s.table.NoteEvacuations(runs.ConnID(id), list)
 	}, s.table.Evacuate)
 	return s
--- a/internal/runs/load.go
+++ b/internal/runs/load.go
@@ -158,10 +158,10 @@
 		}
 		usual, count = usual+r.order.Demand.CPUMilli, count+1
 		left := r.order.EstimateMs/speed - clock.Millis(t.now.Sub(r.calledAt))
-		t.occupants = append(t.occupants, waiting.Occupant{CPUMilli: r.order.Demand.CPUMilli, LeftMs: left})
+		t.occupants = append(t.occupants, waiting.RunningTask{CPUMilli: r.order.Demand.CPUMilli, RemainingMs: left})
 	}
 	for _, r := range t.queue {
-		t.waits = append(t.waits, waiting.Queued{
+		t.waits = append(t.waits, waiting.QueuedTask{
 			CPUMilli: r.order.Demand.CPUMilli, RunMs: r.order.EstimateMs / speed, SlackMs: clock.Millis(r.startBy.Sub(t.now)),
 		})
 	}
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -263,9 +263,9 @@
 
 	loadDirty  bool // the load has changed since the last Flush
 	loadUrgent bool // in a way that entries must know at once
-	player     waiting.Player
-	occupants  []waiting.Occupant
-	waits      []waiting.Queued
+	player     waiting.Simulator
+	occupants  []waiting.RunningTask
+	waits      []waiting.QueuedTask
 
 	counts Counts
 }
--- a/internal/scheduler/health/health_test.go
+++ b/internal/scheduler/health/health_test.go
@@ -29,7 +29,7 @@
 	}
 	failUntilOut := func(id uint64) int {
 		for n := 1; n <= 50; n++ {
-			if tr.Observe(id, false, Failed, now); tr.Rating(id) == Out {
+			if tr.Observe(id, false, Failed, now); tr.Rating(id) == Ejected {
 				return n
 			}
 		}
@@ -47,8 +47,8 @@
 	// time, so work flows to it, and within a second most jobs contain a failed task.
 	It("takes the work from a target that fails everything after a handful", func() {
 		Expect(failUntilOut(3)).To(BeNumerically("<=", 5))
-		Expect(tr.Allowance(3, now)).To(BeZero())
-		Expect(tr.Allowance(4, now)).To(Equal(Unlimited))
+		Expect(tr.MaxInFlight(3, now)).To(BeZero())
+		Expect(tr.MaxInFlight(4, now)).To(Equal(Unlimited))
 	})
 
 	// A class is broken: its tasks fail wherever they run. Were each target judged
@@ -58,7 +58,7 @@
 			round(agents, false)
 		}
 		for id := range uint64(agents) {
-			Expect(tr.Rating(id)).To(Equal(Well))
+			Expect(tr.Rating(id)).To(Equal(Healthy))
 		}
 	})
 
@@ -68,7 +68,7 @@
 		for n := range 400 {
 			tr.Observe(5, n%20 != 0, Failed, now)
 		}
-		Expect(tr.Rating(5)).To(Equal(Well))
+		Expect(tr.Rating(5)).To(Equal(Healthy))
 	})
 
 	// A target that is out is mended, or is not. Given all its work back at once
@@ -76,14 +76,14 @@
 	It("brings a target back through single trials", func() {
 		failUntilOut(3)
 		tr.Observe(3, false, Failed, now) // a task that was still under way
-		now = now.Add(FirstTrial)
-		Expect(tr.Allowance(3, now)).To(Equal(1))
+		now = now.Add(InitialTrialInterval)
+		Expect(tr.MaxInFlight(3, now)).To(Equal(1))
 		allowed := 1
-		for n := 0; tr.Rating(3) != Well; n++ {
+		for n := 0; tr.Rating(3) != Healthy; n++ {
 			Expect(n).To(BeNumerically("<", 10))
 			tr.Observe(3, true, Succeeded, now)
-			Expect(tr.Allowance(3, now)).To(BeNumerically(">", allowed))
-			allowed = tr.Allowance(3, now)
+			Expect(tr.MaxInFlight(3, now)).To(BeNumerically(">", allowed))
+			allowed = tr.MaxInFlight(3, now)
 		}
 	})
 
@@ -92,7 +92,7 @@
 		failUntilOut(3)
 		trials := 0
 		for range 3600 {
-			if tr.Allowance(3, now) > 0 {
+			if tr.MaxInFlight(3, now) > 0 {
 				trials++
 				tr.Observe(3, false, Failed, now)
 			}
@@ -110,7 +110,7 @@
 		}
 		out := 0
 		for id := range uint64(agents) {
-			if tr.Rating(id) == Out {
+			if tr.Rating(id) == Ejected {
 				out++
 			}
 		}
--- a/internal/scheduler/health/tracker.go
+++ b/internal/scheduler/health/tracker.go
@@ -34,12 +34,12 @@
 	outAbove = 10
 	// rateMemory is over how many outcomes an agent's failure rate forgets.
 	rateMemory = 8
-	// FirstTrial is the wait before the first trial task. Shorter, and a target
+	// InitialTrialInterval is the wait before the first trial task. Shorter, and a target
 	// in the middle of a restart fails it for sure.
-	FirstTrial = time.Second
-	// LastTrial caps the growing distance of trials, so that a target which is
+	InitialTrialInterval = time.Second
+	// MaxTrialInterval caps the growing distance of trials, so that a target which is
 	// mended takes part again within half a minute.
-	LastTrial = 30 * time.Second
+	MaxTrialInterval = 30 * time.Second
 	// provenAfter is how many successes in a row end the probation. The
 	// allowance has then grown to 32, beyond the slots of one target.
 	provenAfter = 5
@@ -59,9 +59,9 @@
 
 // Ratings.
 const (
-	Well Rating = iota
+	Healthy Rating = iota
 	Probation
-	Out
+	Ejected
 )
 
 var ratingNames = [...]string{"well", "probation", "out"}
@@ -69,14 +69,14 @@
 // String returns the rating's name in logs.
 func (r Rating) String() string { return ratingNames[r] }
 
-// Kind says what went wrong with a task.
-type Kind uint8
+// Outcome says what went wrong with a task.
+type Outcome uint8
 
 // Kinds of outcome.
 const (
-	Succeeded  Kind = iota
+	Succeeded  Outcome = iota
 	Failed          // the target ran it and reported failure
-	TurnedAway      // the target refused it or could not be called
+	Rejected      // the target refused it or could not be called
 	Lost            // the outcome is unknown
 )
 
@@ -102,8 +102,8 @@
 
 // Limits are what operators may set.
 type Limits struct {
-	BrokenRate            float64 // failure rate a broken target is taken to have, above leastRate and below 1
-	FirstTrial, LastTrial time.Duration
+	BrokenFailureRate            float64 // failure rate a broken target is taken to have, above leastRate and below 1
+	InitialTrialInterval, MaxTrialInterval time.Duration
 }
 
 // SetLimits replaces the limits, for outcomes from now on.
@@ -111,25 +111,25 @@
 
 // New returns an empty tracker.
 func New() *Tracker {
-	return &Tracker{agents: map[uint64]*agent{}, limits: Limits{brokenRate, FirstTrial, LastTrial}}
+	return &Tracker{agents: map[uint64]*agent{}, limits: Limits{brokenRate, InitialTrialInterval, MaxTrialInterval}}
 }
 
 // Observe takes one outcome and reports whether the agent's rating changed.
-func (t *Tracker) Observe(id uint64, ok bool, kind Kind, now time.Time) (changed bool) {
+func (t *Tracker) Observe(id uint64, ok bool, kind Outcome, now time.Time) (changed bool) {
 	a := t.agents[id]
 	if a == nil {
-		a = &agent{distance: t.limits.FirstTrial, wellSince: now}
+		a = &agent{distance: t.limits.InitialTrialInterval, wellSince: now}
 		t.agents[id] = a
 	}
 	before := a.rating
 	usual := t.median()
 	t.updateRate(a, ok)
 	switch a.rating {
-	case Well:
+	case Healthy:
 		t.weigh(a, ok, usual, now)
 	case Probation:
 		t.prove(a, ok, now)
-	case Out:
+	case Ejected:
 		t.trial(a, ok, now)
 	}
 	return a.rating != before
@@ -138,15 +138,15 @@
 // weigh adds one outcome to the evidence against an agent that is well.
 func (t *Tracker) weigh(a *agent, ok bool, usual float64, now time.Time) {
 	p := max(usual, leastRate)
-	if p >= t.limits.BrokenRate {
+	if p >= t.limits.BrokenFailureRate {
 		a.evidence = 0
 		return
 	}
 	if ok {
-		a.evidence = max(0, a.evidence+math.Log((1-t.limits.BrokenRate)/(1-p)))
+		a.evidence = max(0, a.evidence+math.Log((1-t.limits.BrokenFailureRate)/(1-p)))
 		return
 	}
-	a.evidence += math.Log(t.limits.BrokenRate / p)
+	a.evidence += math.Log(t.limits.BrokenFailureRate / p)
 	if a.evidence > outAbove && t.mayPutOut() {
 		t.putOut(a, now)
 	}
@@ -157,13 +157,13 @@
 func (t *Tracker) mayPutOut() bool { return 2*(t.out+1) <= t.known }
 
 func (t *Tracker) putOut(a *agent, now time.Time) {
-	if a.rating == Well && now.Sub(a.wellSince) > forgiveAfter {
-		a.distance = t.limits.FirstTrial
+	if a.rating == Healthy && now.Sub(a.wellSince) > forgiveAfter {
+		a.distance = t.limits.InitialTrialInterval
 	}
-	a.rating = Out
+	a.rating = Ejected
 	a.evidence = 0
 	a.nextTrial = now.Add(a.distance)
-	a.distance = min(2*a.distance, t.limits.LastTrial)
+	a.distance = min(2*a.distance, t.limits.MaxTrialInterval)
 	t.out++
 }
 
@@ -190,7 +190,7 @@
 	}
 	a.successes++
 	if a.successes >= provenAfter {
-		a.rating = Well
+		a.rating = Healthy
 		a.wellSince = now
 	}
 }
@@ -200,14 +200,14 @@
 	if a := t.agents[id]; a != nil {
 		return a.rating
 	}
-	return Well
+	return Healthy
 }
 
-// Allowance returns how many tasks the agent may hold at once.
-func (t *Tracker) Allowance(id uint64, now time.Time) int {
+// MaxInFlight returns how many tasks the agent may hold at once.
+func (t *Tracker) MaxInFlight(id uint64, now time.Time) int {
 	a := t.agents[id]
 	switch {
-	case a == nil || a.rating == Well:
+	case a == nil || a.rating == Healthy:
 		return Unlimited
 	case a.rating == Probation:
 		return 1 << a.successes
@@ -221,7 +221,7 @@
 // NextTrial returns when an agent that is out may be tried again, and false for others.
 func (t *Tracker) NextTrial(id uint64) (time.Time, bool) {
 	a := t.agents[id]
-	if a == nil || a.rating != Out {
+	if a == nil || a.rating != Ejected {
 		return time.Time{}, false
 	}
 	return a.nextTrial, true
@@ -233,7 +233,7 @@
 	if a == nil {
 		return
 	}
-	if a.rating == Out {
+	if a.rating == Ejected {
 		t.out--
 	}
 	t.rates[step(a.rate)]--
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -37,20 +37,20 @@
 	// HoldMargin is by how much a wait is taken to be longer than it looks. Waits
 	// are guesses and runs are nearly known, so a tie goes to the slot in hand.
 	HoldMargin = 0.25
-	// OtherCentreMs is added for a target in another data centre: the round trip.
-	OtherCentreMs = 3
-	// SameRackFactor lengthens a run in a rack that the job asked to avoid. A
+	// RemoteDataCentreMs is added for a target in another data centre: the round trip.
+	RemoteDataCentreMs = 3
+	// AvoidedRackFactor lengthens a run in a rack that the job asked to avoid. A
 	// spread is wanted where there is a choice, and not at any price.
-	SameRackFactor = 4
+	AvoidedRackFactor = 4
 )
 
 // Policy is a rule of placement.
 type Policy int
 
-// Policies. All but Late are kept as baselines for comparison: Random and
+// Policies. All but EarliestFinish are kept as baselines for comparison: Random and
 // TwoChoices push without credits, AnyFree takes any credit in hand.
 const (
-	Late Policy = iota
+	EarliestFinish Policy = iota
 	Random
 	TwoChoices
 	AnyFree
@@ -58,7 +58,7 @@
 
 // Candidate is a target as its owner sees it now.
 type Candidate struct {
-	Agent   uint64
+	AgentID   uint64
 	Classes []string // of tasks that it serves; empty: all
 	Speed   float64  // measured, relative to a target of speed 1
 	Credits int      // starts allowed now
@@ -71,9 +71,9 @@
 	Free       job.Demand // resources not taken
 	Rack       string
 	DataCentre string
-	Penalty    float64 // milliseconds added to the ranking, for targets in doubt
+	PenaltyMs    float64 // milliseconds added to the ranking, for targets in doubt
 	Local      bool    // in the owner's own data centre
-	Allowance  int     // most tasks in flight that its health allows
+	MaxInFlight  int     // most tasks in flight that its health allows
 }
 
 // Task is what is to be placed.
@@ -84,9 +84,9 @@
 	// SlackMs is when the other tasks of the job are expected to end, from now; 0
 	// where none has started.
 	SlackMs float64
-	// Spread is the factor by which a run time typically differs from its
+	// ErrorFactor is the factor by which a run time typically differs from its
 	// estimate; below 1 counts as 1.
-	Spread     float64
+	ErrorFactor     float64
 	AvoidRacks []string      // racks where the job has tasks and asked for a spread
 	DeadlineIn time.Duration // 0: none
 }
@@ -183,7 +183,7 @@
 // rank is the feasibility and the ranking step in one look over the candidates.
 func rank(t *Task, cs []Candidate) ranking {
 	r := ranking{best: nobody, second: nobody, offPath: ranked{None, 0}, busy: nobody}
-	spread := max(t.Spread, 1)
+	spread := max(t.ErrorFactor, 1)
 	// The task itself and those that give the slack may both be off by the spread.
 	slackMs := t.SlackMs / (spread * spread)
 	for i := range cs {
@@ -226,7 +226,7 @@
 
 // fits is the feasibility step, credits apart.
 func fits(t *Task, c *Candidate) bool {
-	return c.Allowance > c.InFlight && t.Demand.Fits(c.Free) && serves(c, t.Class)
+	return c.MaxInFlight > c.InFlight && t.Demand.Fits(c.Free) && serves(c, t.Class)
 }
 
 func serves(c *Candidate, class string) bool {
@@ -235,13 +235,13 @@
 
 // endMs is the ranking step: when the task would end on c if it started now.
 func endMs(t *Task, c *Candidate) float64 {
-	ms := t.EstimateMs/c.Speed + c.Penalty
+	ms := t.EstimateMs/c.Speed + c.PenaltyMs
 	if !c.Local {
-		ms += OtherCentreMs
+		ms += RemoteDataCentreMs
 	}
 	for _, rack := range t.AvoidRacks {
 		if rack == c.Rack {
-			return ms * SameRackFactor
+			return ms * AvoidedRackFactor
 		}
 	}
 	return ms
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -19,7 +19,7 @@
 // target returns a sound local candidate with room for everything.
 func target(speed float64, credits int) Candidate {
 	return Candidate{
-		Speed: speed, Credits: credits, Local: true, Allowance: 1 << 20,
+		Speed: speed, Credits: credits, Local: true, MaxInFlight: 1 << 20,
 		Free: job.Demand{CPUMilli: 64_000, MemoryMB: 256_000, Accelerators: 4},
 	}
 }
@@ -60,17 +60,17 @@
 	// out long, and on a slow target its job waits for it.
 	It("is cautious where run times are known badly", func() {
 		cs := []Candidate{target(3, 1), target(1, 1)}
-		t := Task{EstimateMs: 600, SlackMs: 900, Spread: 2.7}
+		t := Task{EstimateMs: 600, SlackMs: 900, ErrorFactor: 2.7}
 		Expect(Choose(t, cs, Options{}).Index).To(Equal(0))
 	})
 
 	// A fast target hangs. Tasks held back for it would wait until they fail,
 	// while slower targets stand idle.
 	It("does not hold for a target whose credits stopped coming", func() {
-		var gap CreditGap
+		var gap CreditInterval
 		start := time.Unix(0, 0)
 		for n := range 10 {
-			gap.Granted(1, start.Add(time.Duration(n)*50*time.Millisecond))
+			gap.ObserveGrant(1, start.Add(time.Duration(n)*50*time.Millisecond))
 		}
 		last := start.Add(450 * time.Millisecond)
 		Expect(gap.WaitMs(last)).To(BeNumerically("~", 50, 1))
@@ -109,7 +109,7 @@
 	// with the first if it is still broken.
 	It("keeps to the allowance that a target's health gives it", func() {
 		doubtful := target(3, 8)
-		doubtful.Allowance, doubtful.InFlight = 1, 1
+		doubtful.MaxInFlight, doubtful.InFlight = 1, 1
 		cs := []Candidate{doubtful, target(1, 1)}
 		Expect(Choose(Task{EstimateMs: 300}, cs, Options{}).Index).To(Equal(1))
 	})
--- a/internal/scheduler/placement/wait.go
+++ b/internal/scheduler/placement/wait.go
@@ -6,15 +6,15 @@
 // turns over its slots once in that many.
 const waitMemory = 8
 
-// CreditGap learns how often credits come from one target while it is busy. The
+// CreditInterval learns how often credits come from one target while it is busy. The
 // zero value knows nothing.
-type CreditGap struct {
+type CreditInterval struct {
 	last   time.Time
 	meanMs float64
 }
 
-// Granted notes that n credits came.
-func (g *CreditGap) Granted(n int, now time.Time) {
+// ObserveGrant notes that n credits came.
+func (g *CreditInterval) ObserveGrant(n int, now time.Time) {
 	if n <= 0 {
 		return
 	}
@@ -31,7 +31,7 @@
 // WaitMs returns the expected time until the next credit; 0 means unknown. A
 // target that is silent for longer than usual counts as slower and slower, so
 // that nothing is held back for one that has stopped.
-func (g *CreditGap) WaitMs(now time.Time) float64 {
+func (g *CreditInterval) WaitMs(now time.Time) float64 {
 	if g.meanMs == 0 {
 		return 0
 	}
--- a/internal/scheduler/queueing/queueing_test.go
+++ b/internal/scheduler/queueing/queueing_test.go
@@ -26,7 +26,7 @@
 		large := Job{RemainingMs: 290 * 500, LongestMs: 1000, Arrived: start}
 		check := Job{RemainingMs: 100, LongestMs: 100, Arrived: after(50)}
 		Expect(LeastWork.Rank(check)).To(BeNumerically("<", LeastWork.Rank(large)))
-		Expect(FirstCome.Rank(check)).To(BeNumerically(">", FirstCome.Rank(large)))
+		Expect(FCFS.Rank(check)).To(BeNumerically(">", FCFS.Rank(large)))
 	})
 
 	// Small jobs keep coming for minutes. By size alone a large job would never
@@ -42,7 +42,7 @@
 	// large job is begun, overtaken until its deadline, and what has run is wasted.
 	It("lets nothing overtake a job in the later part of its time", func() {
 		large := Job{RemainingMs: 64 * 500, LongestMs: 4000, Arrived: start, Deadline: after(10_000)}
-		tiny := Job{RemainingMs: 1, LongestMs: 1, Arrived: after(10_000 * OvertakenShare)}
+		tiny := Job{RemainingMs: 1, LongestMs: 1, Arrived: after(10_000 * MaxOvertakeShare)}
 		Expect(LeastWork.Rank(large)).To(BeNumerically("<", LeastWork.Rank(tiny)))
 	})
 
--- a/internal/scheduler/queueing/rank.go
+++ b/internal/scheduler/queueing/rank.go
@@ -31,13 +31,13 @@
 // too large and a large job waits for as long as small ones keep coming.
 const AgeingFactor = 2
 
-// OvertakenShare is the share of a job's time, from its arrival to its deadline,
+// MaxOvertakeShare is the share of a job's time, from its arrival to its deadline,
 // during which later jobs may go before it. Under saturation small jobs never stop
 // coming, and a large job with a short deadline would age too slowly: it is begun,
 // overtaken until its deadline and given up, and all that ran of it is wasted.
 // The bound is approached smoothly, so that jobs near it keep their order by size;
 // cut off sharply, most jobs with tight deadlines would be served first come first.
-const OvertakenShare = 0.8
+const MaxOvertakeShare = 0.8
 
 // maxSizeMs caps the size of a job in a rank, so that an absurd declaration
 // can't overflow it: 290 tasks of one hour.
@@ -54,15 +54,15 @@
 // Policy is a rule for the order.
 type Policy int
 
-// Policies. FirstCome is kept as a baseline for comparison.
+// Policies. FCFS is kept as a baseline for comparison.
 const (
 	LeastWork Policy = iota
-	FirstCome
+	FCFS
 )
 
 // String returns the policy's name in settings.
 func (p Policy) String() string {
-	if p == FirstCome {
+	if p == FCFS {
 		return "first-come"
 	}
 	return "least-work"
@@ -73,7 +73,7 @@
 // present time.
 func (p Policy) Rank(j Job) int64 {
 	arrived := j.Arrived.UnixMilli()
-	if p == FirstCome {
+	if p == FCFS {
 		return arrived
 	}
 	return arrived + int64(bounded(AgeingFactor*sizeMs(j), j))
@@ -85,7 +85,7 @@
 	if j.Deadline.IsZero() {
 		return behindMs
 	}
-	mostMs := OvertakenShare * max(j.Deadline.Sub(j.Arrived).Seconds()*1000, 1)
+	mostMs := MaxOvertakeShare * max(j.Deadline.Sub(j.Arrived).Seconds()*1000, 1)
 	return behindMs * mostMs / (behindMs + mostMs)
 }
 
--- a/internal/scheduler/quota/quota.go
+++ b/internal/scheduler/quota/quota.go
@@ -21,10 +21,10 @@
 
 import "math"
 
-// FairSlack is how far above its equal share a team without a quota may go while
+// FairShareFactor is how far above its equal share a team without a quota may go while
 // others wait. At 1 a team with long tasks idles slots each time a small team
 // passes by; at 2 half of the slots change hands soon enough.
-const FairSlack = 2
+const FairShareFactor = 2
 
 type team struct {
 	running int
@@ -69,8 +69,8 @@
 // SetContended says whether the queue is long, so that shares matter.
 func (l *Limiter) SetContended(yes bool) { l.crowded = yes }
 
-// Waiting sets how many tasks of the team wait.
-func (l *Limiter) Waiting(name string, n int) {
+// SetWaiting sets how many tasks of the team wait.
+func (l *Limiter) SetWaiting(name string, n int) {
 	t := l.team(name)
 	if t.waiting == 0 && n > 0 {
 		l.waiting++
@@ -116,7 +116,7 @@
 	if !l.crowded || l.othersWaiting(name) == 0 {
 		return math.MaxInt, false
 	}
-	return max(FairSlack*l.slots/len(l.teams), 1), false
+	return max(FairShareFactor*l.slots/len(l.teams), 1), false
 }
 
 // MayStart reports whether one more task of the team may start.
--- a/internal/scheduler/quota/quota_test.go
+++ b/internal/scheduler/quota/quota_test.go
@@ -45,16 +45,16 @@
 	// wait behind its long tasks; alone in the system it may use them all.
 	It("holds a team without a quota to its share while others wait", func() {
 		l.SetContended(true)
-		l.Waiting("flood", 1000)
+		l.SetWaiting("flood", 1000)
 		Expect(startAll("flood")).To(Equal(1000))
 		for range 920 {
 			l.Finished("flood")
 		}
 		for n := range 4 {
-			l.Waiting(fmt.Sprint("small", n), 1)
+			l.SetWaiting(fmt.Sprint("small", n), 1)
 		}
 		Expect(l.MayStart("flood")).To(BeFalse())
-		for range 80 - FairSlack*80/5 + 1 {
+		for range 80 - FairShareFactor*80/5 + 1 {
 			l.Finished("flood")
 		}
 		Expect(l.MayStart("flood")).To(BeTrue())
@@ -66,9 +66,9 @@
 	It("forgets teams that are gone", func() {
 		for n := range 1000 {
 			name := fmt.Sprint(n)
-			l.Waiting(name, 1)
+			l.SetWaiting(name, 1)
 			l.Started(name)
-			l.Waiting(name, 0)
+			l.SetWaiting(name, 0)
 			l.Finished(name)
 		}
 		Expect(l.teams).To(BeEmpty())
--- a/internal/scheduler/reporting/reporting.go
+++ b/internal/scheduler/reporting/reporting.go
@@ -27,9 +27,9 @@
 	noticed = 1.5
 )
 
-// Every returns the shortest time between two reports of one runner, for a host with that
+// Interval returns the shortest time between two reports of one runner, for a host with that
 // part of a core and so many runners.
-func Every(processorShare float64, runners int) time.Duration {
+func Interval(processorShare float64, runners int) time.Duration {
 	if !(processorShare > 0) {
 		return 0
 	}
@@ -37,8 +37,8 @@
 	return min(period, longest)
 }
 
-// Differs reports whether a period is another one than what runners were told, so far that it
+// SignificantChange reports whether a period is another one than what runners were told, so far that it
 // is worth a frame to each.
-func Differs(period, told time.Duration) bool {
+func SignificantChange(period, told time.Duration) bool {
 	return float64(period) > noticed*float64(told) || float64(told) > noticed*float64(period)
 }
--- a/internal/scheduler/reporting/reporting_test.go
+++ b/internal/scheduler/reporting/reporting_test.go
@@ -11,7 +11,7 @@
 // the host's own processor that reading the reports takes.
 func heard(processorShare float64, runners int) float64 {
 	const changes = 80
-	perRunner := min(changes, float64(time.Second)/float64(max(Every(processorShare, runners), time.Millisecond)))
+	perRunner := min(changes, float64(time.Second)/float64(max(Interval(processorShare, runners), time.Millisecond)))
 	return perRunner * float64(runners) * frameCost.Seconds() / processorShare
 }
 
@@ -35,7 +35,7 @@
 
 // A large host hears of every change.
 func TestALargeHostHearsAll(t *testing.T) {
-	NewWithT(t).Expect(Every(0.8, 55)).To(BeNumerically("<", 15*time.Millisecond))
+	NewWithT(t).Expect(Interval(0.8, 55)).To(BeNumerically("<", 15*time.Millisecond))
 }
 
 // Runners come and go one by one. Each costs a frame to all others only where the pace changes
@@ -44,10 +44,10 @@
 	g := NewWithT(t)
 	told, times := time.Duration(0), 0
 	for runners := 1; runners <= 60; runners++ {
-		if every := Every(0.2, runners); Differs(every, told) {
+		if every := Interval(0.2, runners); SignificantChange(every, told) {
 			told, times = every, times+1
 		}
 	}
 	g.Expect(times).To(BeNumerically("<=", 11))
-	g.Expect(Differs(Every(0.2, 60), told)).To(BeFalse())
+	g.Expect(SignificantChange(Interval(0.2, 60), told)).To(BeFalse())
 }
--- a/internal/scheduler/shedding/shedding.go
+++ b/internal/scheduler/shedding/shedding.go
@@ -16,16 +16,16 @@
 
 import "time"
 
-// Slack is how much longer than its time left a job's wait must look before it is
+// WaitTolerance is how much longer than its time left a job's wait must look before it is
 // shed. Waits are estimates, and a shed job can't be taken back, whereas a late
 // one is shed at the next look.
-const Slack = 1.5
+const WaitTolerance = 1.5
 
 // Job is a waiting job. Work is in milliseconds at speed 1.
 type Job struct {
 	RemainingMs float64
 	LongestMs   float64
-	Begun       bool          // a task of it was sent
+	Started       bool          // a task of it was sent
 	DeadlineIn  time.Duration // time left, negative when past
 }
 
@@ -35,8 +35,8 @@
 // Reasons.
 const (
 	Keep     Reason = iota
-	Hopeless        // no free target could finish it in time
-	Behind          // too much work goes before it
+	Infeasible        // no free target could finish it in time
+	WaitTooLong          // too much work goes before it
 )
 
 var reasonNames = [...]string{"keep", "hopeless", "behind"}
@@ -73,22 +73,22 @@
 
 func judge(f Fleet, j Job, aheadMs float64) Reason {
 	leftMs := float64(j.DeadlineIn) / float64(time.Millisecond)
-	if Late(j, f.FastestSpeed) {
-		return Hopeless
+	if MissesDeadline(j, f.FastestSpeed) {
+		return Infeasible
 	}
-	if j.Begun || f.CapacityMsPerMs <= 0 {
+	if j.Started || f.CapacityMsPerMs <= 0 {
 		return Keep
 	}
 	waitMs := aheadMs / f.CapacityMsPerMs
-	if waitMs > leftMs*Slack {
-		return Behind
+	if waitMs > leftMs*WaitTolerance {
+		return WaitTooLong
 	}
 	return Keep
 }
 
-// Late reports whether the job can't end in time even on free targets of the
+// MissesDeadline reports whether the job can't end in time even on free targets of the
 // given speed. Without a target, only a passed deadline is late.
-func Late(j Job, fastestSpeed float64) bool {
+func MissesDeadline(j Job, fastestSpeed float64) bool {
 	if j.DeadlineIn <= 0 {
 		return true
 	}
--- a/internal/scheduler/shedding/shedding_test.go
+++ b/internal/scheduler/shedding/shedding_test.go
@@ -27,25 +27,25 @@
 			jobs = append(jobs, waiting(20_000, 3*time.Second)) // 20 s of work for 3 s
 		}
 		shed := Pick(fleet, jobs, nil)
-		Expect(len(jobs) - len(shed)).To(BeNumerically("~", 3*Slack*1000/200, 2))
+		Expect(len(jobs) - len(shed)).To(BeNumerically("~", 3*WaitTolerance*1000/200, 2))
 		for _, d := range shed {
-			Expect(d.Reason).To(Equal(Behind))
+			Expect(d.Reason).To(Equal(WaitTooLong))
 		}
 	})
 
 	// What has run of a job is lost if the job is dropped.
 	It("keeps a job that has begun while it can still end", func() {
 		jobs := []Job{waiting(1e6, time.Hour), waiting(20_000, time.Second)}
-		jobs[1].Begun = true
+		jobs[1].Started = true
 		Expect(Pick(fleet, jobs, nil)).To(BeEmpty())
 		jobs[1].DeadlineIn = 50 * time.Millisecond
-		Expect(Pick(fleet, jobs, nil)).To(Equal([]Decision{{1, Hopeless}}))
+		Expect(Pick(fleet, jobs, nil)).To(Equal([]Decision{{1, Infeasible}}))
 	})
 
 	// All targets are gone for some seconds. Nothing is known of when they come
 	// back, so only what is past its deadline is answered.
 	It("waits for targets to come back", func() {
 		jobs := []Job{waiting(1e6, time.Second), waiting(100, time.Second), waiting(100, 0)}
-		Expect(Pick(Fleet{}, jobs, nil)).To(Equal([]Decision{{2, Hopeless}}))
+		Expect(Pick(Fleet{}, jobs, nil)).To(Equal([]Decision{{2, Infeasible}}))
 	})
 })
--- a/internal/scheduler/uplink/uplink.go
+++ b/internal/scheduler/uplink/uplink.go
@@ -25,8 +25,8 @@
 // New returns a link of that many megabits a second; 0: no limit.
 func New(mbps float64) *Link { return &Link{bytesPerMs: max(mbps, 0) * bytesPerMsOfMbps} }
 
-// Sent takes what is handed over to the link now.
-func (l *Link) Sent(now time.Time, bytes int) {
+// Enqueue takes what is handed over to the link now.
+func (l *Link) Enqueue(now time.Time, bytes int) {
 	l.drain(now)
 	if l.bytesPerMs > 0 {
 		l.backlog += float64(bytes)
@@ -36,11 +36,11 @@
 // WaitMs returns how long what is handed over now waits before it is sent.
 func (l *Link) WaitMs(now time.Time) float64 {
 	l.drain(now)
-	return l.TakesMs(int(l.backlog))
+	return l.TransmitMs(int(l.backlog))
 }
 
-// TakesMs returns how long the link takes to send so much.
-func (l *Link) TakesMs(bytes int) float64 {
+// TransmitMs returns how long the link takes to send so much.
+func (l *Link) TransmitMs(bytes int) float64 {
 	if l.bytesPerMs <= 0 {
 		return 0
 	}
--- a/internal/scheduler/uplink/uplink_test.go
+++ b/internal/scheduler/uplink/uplink_test.go
@@ -14,19 +14,19 @@
 	g := NewWithT(t)
 	l := New(2) // 250 bytes a millisecond
 	g.Expect(l.WaitMs(now)).To(BeZero())
-	l.Sent(now, 25_000)
+	l.Enqueue(now, 25_000)
 	g.Expect(l.WaitMs(now)).To(BeNumerically("~", 100, 0.1))
 	g.Expect(l.WaitMs(now.Add(60 * time.Millisecond))).To(BeNumerically("~", 40, 0.1))
 	g.Expect(l.WaitMs(now.Add(time.Second))).To(BeZero())
-	g.Expect(l.TakesMs(500)).To(BeNumerically("~", 2, 0.01))
+	g.Expect(l.TransmitMs(500)).To(BeNumerically("~", 2, 0.01))
 }
 
 // Guards against waits that are reckoned with where the width of the link is not known.
 func TestLinkWithoutALimit(t *testing.T) {
 	g := NewWithT(t)
 	for _, l := range []*Link{{}, New(0), New(-1)} {
-		l.Sent(now, 1<<30)
+		l.Enqueue(now, 1<<30)
 		g.Expect(l.WaitMs(now)).To(BeZero())
-		g.Expect(l.TakesMs(1 << 30)).To(BeZero())
+		g.Expect(l.TransmitMs(1 << 30)).To(BeZero())
 	}
 }
--- a/internal/scheduler/waiting/waiting.go
+++ b/internal/scheduler/waiting/waiting.go
@@ -14,14 +14,14 @@
 	"slices"
 )
 
-// Occupant is a running task.
-type Occupant struct {
+// RunningTask is a running task.
+type RunningTask struct {
 	CPUMilli int
-	LeftMs   float64 // expected time to its end; below zero where it is overdue
+	RemainingMs   float64 // expected time to its end; below zero where it is overdue
 }
 
-// Queued is a waiting task; they are given in the order in which they will start.
-type Queued struct {
+// QueuedTask is a waiting task; they are given in the order in which they will start.
+type QueuedTask struct {
 	CPUMilli int
 	RunMs    float64 // expected time at the target
 	SlackMs  float64 // a task with less slack goes before it
@@ -32,19 +32,19 @@
 // other means.
 const overdueMs = 15
 
-// Player plays queues forward. It keeps its memory between calls; it is not safe
+// Simulator plays queues forward. It keeps its memory between calls; it is not safe
 // for concurrent use.
-type Player struct {
-	ends []Occupant // by LeftMs
+type Simulator struct {
+	ends []RunningTask // by LeftMs
 }
 
 // Predict returns, for each horizon (in rising order, in milliseconds of slack), how
 // long a new task of that slack and of probe processors would wait.
-func (p *Player) Predict(freeMilli int, running []Occupant, queue []Queued, probeMilli int, horizons []float64, waits []float64) {
+func (p *Simulator) Predict(freeMilli int, running []RunningTask, queue []QueuedTask, probeMilli int, horizons []float64, waits []float64) {
 	p.ends = p.ends[:0]
 	for _, o := range running {
-		if o.LeftMs < overdueMs {
-			o.LeftMs = overdueMs
+		if o.RemainingMs < overdueMs {
+			o.RemainingMs = overdueMs
 		}
 		p.ends = append(p.ends, o)
 	}
@@ -60,34 +60,34 @@
 	}
 }
 
-func byLeft(a, b Occupant) int {
+func byLeft(a, b RunningTask) int {
 	switch {
-	case a.LeftMs < b.LeftMs:
+	case a.RemainingMs < b.RemainingMs:
 		return -1
-	case a.LeftMs > b.LeftMs:
+	case a.RemainingMs > b.RemainingMs:
 		return 1
 	}
 	return 0
 }
 
 // start lets the task begin as soon as there is room, and returns what is free then.
-func (p *Player) start(free int, now float64, cpu int, runMs float64) (int, float64) {
+func (p *Simulator) start(free int, now float64, cpu int, runMs float64) (int, float64) {
 	for free < cpu && len(p.ends) > 0 {
 		free += p.ends[0].CPUMilli
-		now = max(now, p.ends[0].LeftMs)
+		now = max(now, p.ends[0].RemainingMs)
 		p.ends = p.ends[1:]
 	}
-	end := Occupant{CPUMilli: cpu, LeftMs: now + runMs}
+	end := RunningTask{CPUMilli: cpu, RemainingMs: now + runMs}
 	at, _ := slices.BinarySearchFunc(p.ends, end, byLeft)
 	p.ends = slices.Insert(p.ends, at, end)
 	return free - cpu, now
 }
 
 // wait returns when there is room for a probe, without letting it begin.
-func (p *Player) wait(free int, now float64, cpu int) float64 {
+func (p *Simulator) wait(free int, now float64, cpu int) float64 {
 	for i := 0; free < cpu && i < len(p.ends); i++ {
 		free += p.ends[i].CPUMilli
-		now = max(now, p.ends[i].LeftMs)
+		now = max(now, p.ends[i].RemainingMs)
 	}
 	return now
 }
