--- a/internal/leased/simhost_test.go
+++ b/internal/leased/simhost_test.go
@@ -72,7 +72,7 @@
 
 // renew makes one renewal.
 func (h *simHost) renew() {
-	c, known := h.table.Renewal(h.w.now)
+	c, known := h.table.NextRenewal(h.w.now)
 	if !known {
 		return
 	}
@@ -80,7 +80,7 @@
 	if h.w.draw(12) == 0 {
 		h.w.at(60*time.Millisecond, func() {
 			if h.table == table {
-				table.RenewFailed(h.w.now, c, runs.Silent)
+				table.RenewFailed(h.w.now, c, runs.Unresponsive)
 			}
 		})
 		return
@@ -90,22 +90,22 @@
 		table.RenewFailed(h.w.now, c, runs.Refused)
 		return
 	}
-	if c.Life != s.life {
-		table.RenewFailed(h.w.now, c, runs.Elsewhere)
+	if c.Incarnation != s.life {
+		table.RenewFailed(h.w.now, c, runs.Replaced)
 		return
 	}
 	if c.Token < s.token {
-		table.Renewed(h.w.now, asked, c, runs.Listing{ClockMs: s.clock(), BornMs: s.life.BornMs, BadToken: true})
+		table.Renewed(h.w.now, asked, c, runs.Listing{ClockMs: s.clock(), StartedMs: s.life.StartedMs, StaleToken: true})
 		return
 	}
 	s.token = c.Token
 	if c.LeaseUntilMs > 0 {
 		s.take(c.LeaseUntilMs)
 	}
-	for len(s.ended) > 0 && s.ended[0].Number <= c.AckCursor {
+	for len(s.ended) > 0 && s.ended[0].Seq <= c.AckCursor {
 		s.ended = s.ended[1:]
 	}
-	l := runs.Listing{ClockMs: s.clock(), BornMs: s.life.BornMs, Ended: append([]runs.EndedRun(nil), s.ended...)}
+	l := runs.Listing{ClockMs: s.clock(), StartedMs: s.life.StartedMs, Ended: append([]runs.EndedRun(nil), s.ended...)}
 	for id := range s.running {
 		l.Running = append(l.Running, id)
 	}
@@ -123,6 +123,6 @@
 	h.seq++
 	h.target.saidMilli = h.target.capacityMilli
 	h.table.Announce(h.w.now, runs.Announcement{
-		Life: h.target.life, Service: "s", Capacity: job.Demand{CPUMilli: h.target.capacityMilli, MemoryMB: 1000}, ClockMs: h.target.clock(), Seq: h.seq,
+		Incarnation: h.target.life, Service: "s", Capacity: job.Demand{CPUMilli: h.target.capacityMilli, MemoryMB: 1000}, ClockMs: h.target.clock(), Seq: h.seq,
 	})
 }
--- a/internal/leased/simlog_test.go
+++ b/internal/leased/simlog_test.go
@@ -94,7 +94,7 @@
 	table := h.table
 	h.evacuated = map[string]bool{}
 	h.belief = &evacuation.Replica{
-		Send: func(id evacuation.PeerID, list []wire.Evacuation) { table.NoteEvacuations(runs.ConnID(id), list) },
+		Send: func(id evacuation.PeerID, list []wire.Evacuation) { table.QueueEvacuations(runs.ConnID(id), list) },
 		OnChange: func(now time.Time, s evacuation.Record, _ evacuation.PeerID) {
 			h.evacuated[s.DataCentre] = !s.Lifted
 			table.Evacuate(now, s.DataCentre, s.Lifted)
--- a/internal/leased/simtarget_test.go
+++ b/internal/leased/simtarget_test.go
@@ -12,7 +12,7 @@
 type simTarget struct {
 	w       *simWorld
 	n       int
-	life    runs.Life
+	life    runs.Incarnation
 	born    time.Time
 	token   int64
 	until   time.Time
@@ -35,7 +35,7 @@
 	for id := range s.running {
 		s.w.over(id, s.n)
 	}
-	s.life = runs.Life{Name: fmt.Sprintf("t%d", s.n), BornMs: s.w.now.UnixMilli()}
+	s.life = runs.Incarnation{Name: fmt.Sprintf("t%d", s.n), StartedMs: s.w.now.UnixMilli()}
 	s.born, s.token, s.until = s.w.now, 0, time.Time{}
 	s.running, s.failing = map[runs.RunID]time.Time{}, map[runs.RunID]bool{}
 	s.fenced, s.ended, s.ends = map[runs.Task]uint64{}, nil, 0
@@ -49,7 +49,7 @@
 const mostCrashes = 5
 
 // crashedBy ends the life in which a crasher was started; the next one begins some time later.
-func (s *simTarget) crashedBy(id runs.RunID, life runs.Life) {
+func (s *simTarget) crashedBy(id runs.RunID, life runs.Incarnation) {
 	if _, there := s.running[id]; !there || s.life != life {
 		return
 	}
@@ -75,10 +75,10 @@
 
 func (s *simTarget) start(c runs.StartCall) runs.Answer {
 	switch {
-	case c.Life != s.life:
-		return runs.OtherLife
+	case c.Incarnation != s.life:
+		return runs.OtherIncarnation
 	case c.Token < s.token:
-		return runs.BadToken
+		return runs.StaleToken
 	}
 	s.token = c.Token
 	if _, there := s.running[c.Run]; there {
@@ -87,9 +87,9 @@
 	s.take(c.LeaseUntilMs)
 	switch {
 	case c.Run.Number <= s.fenced[c.Run.Task]:
-		return runs.LowRun
+		return runs.StaleRun
 	case c.LeaseUntilMs <= s.clock():
-		return runs.LateLease
+		return runs.LeaseExpired
 	}
 	if !s.w.carriedOutLate && (len(s.running)+1)*taskMilli > s.saidMilli {
 		s.w.fail(c.Run.Task.Job, "task %v starts on host %d beside %d others, whose target has said that it has %d", c.Run.Task, s.n, len(s.running), s.saidMilli)
@@ -110,10 +110,10 @@
 
 func (s *simTarget) stop(c runs.StopCall) runs.Answer {
 	switch {
-	case c.Life != s.life:
-		return runs.OtherLife
+	case c.Incarnation != s.life:
+		return runs.OtherIncarnation
 	case c.Token < s.token:
-		return runs.BadToken
+		return runs.StaleToken
 	}
 	s.token = c.Token
 	s.fenced[c.Run.Task] = max(s.fenced[c.Run.Task], c.Run.Number)
@@ -127,7 +127,7 @@
 	delete(s.running, id)
 	s.fenced[id.Task] = max(s.fenced[id.Task], id.Number)
 	s.ends++
-	s.ended = append(s.ended, runs.EndedRun{Number: s.ends, Run: id, End: how})
+	s.ended = append(s.ended, runs.EndedRun{Seq: s.ends, Run: id, End: how})
 	s.w.over(id, s.n)
 	if how == runs.Done {
 		s.w.done[id.Task]++
--- a/internal/runner/memory.go
+++ b/internal/runner/memory.go
@@ -44,7 +44,7 @@
 
 // remember writes the record of a target whose life or readiness has changed.
 func (r *Runner) remember(a runs.Announcement) {
-	m := memory{a.Life.Name, a.Life.BornMs, a.Service, a.Labels, a.Capacity, a.Leaving, a.DataCentre}
+	m := memory{a.Incarnation.Name, a.Incarnation.StartedMs, a.Service, a.Labels, a.Capacity, a.Leaving, a.DataCentre}
 	if r.forgetOlder != nil {
 		r.forgetOlder()
 	}
@@ -77,9 +77,9 @@
 			return
 		}
 		a := runs.Announcement{
-			Life: runs.Life{Name: m.Name, BornMs: m.BornMs}, Service: m.Service, Labels: m.Labels, Capacity: m.Capacity, Leaving: m.Leaving, DataCentre: m.DataCentre,
+			Incarnation: runs.Incarnation{Name: m.Name, StartedMs: m.BornMs}, Service: m.Service, Labels: m.Labels, Capacity: m.Capacity, Leaving: m.Leaving, DataCentre: m.DataCentre,
 		}
-		r.do(func(now time.Time, s *state) { s.table.Recall(now, a) })
+		r.do(func(now time.Time, s *state) { s.table.Restore(now, a) })
 		r.renewNow()
 	}
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -50,7 +50,7 @@
 
 	Store   platformlog.Keyed
 	Target  Target
-	Why     func(error) runs.Unreachable
+	Why     func(error) runs.RenewFailure
 	Targets func(*Runner) http.Handler
 }
 
@@ -132,15 +132,15 @@
 		event.Log(r.log, event.ConfigApplied, "version", version, "kept_for", "entries")
 		return nil
 	}}
-	s.conf.Send = func(id confsync.PeerID, note wire.ConfigNote) { s.table.Note(runs.ConnID(id), note) }
+	s.conf.Send = func(id confsync.PeerID, note wire.ConfigNote) { s.table.QueueConfigNote(runs.ConnID(id), note) }
 	s.evacuations = leased.NewEvacuations(r.log, func(id evacuation.PeerID, list []evacuation.Record) {
-		s.table.NoteEvacuations(runs.ConnID(id), list)
+		s.table.QueueEvacuations(runs.ConnID(id), list)
 	}, s.table.Evacuate)
 	return s
 }
 
 func pace(s *state) time.Duration {
-	if s.table.Runs() > 0 || s.table.LoadDue() {
+	if s.table.Runs() > 0 || s.table.LoadReportPending() {
 		return tickEvery
 	}
 	return idleTick
@@ -246,7 +246,7 @@
 
 // Depart takes the target's word that it ends.
 func (r *Runner) Depart(name string) {
-	r.do(func(now time.Time, s *state) { s.table.Depart(now, name) })
+	r.do(func(now time.Time, s *state) { s.table.Deregister(now, name) })
 }
 
 // Stop drains and ends the daemon: nothing new begins, and what runs may end within
@@ -254,7 +254,7 @@
 func (r *Runner) Stop(ctx context.Context) error {
 	began := time.Now()
 	event.Log(r.log, event.DrainStarted, "grace_ms", r.o.Grace.Milliseconds())
-	r.do(func(now time.Time, s *state) { s.table.Leave(now) })
+	r.do(func(now time.Time, s *state) { s.table.Drain(now) })
 	left := 1
 	for until := began.Add(r.o.Grace - exitTail); left > 0 && time.Now().Before(until) && ctx.Err() == nil; {
 		if err := r.loop.Do(time.Second, func(_ time.Time, s *state) { left = s.table.Runs() }); err != nil {
--- a/internal/runner/target.go
+++ b/internal/runner/target.go
@@ -23,7 +23,7 @@
 		var known bool
 		err := r.loop.Do(time.Hour, func(now time.Time, s *state) {
 			r.awake(now, s)
-			call, known = s.table.Renewal(now)
+			call, known = s.table.NextRenewal(now)
 		})
 		if err != nil {
 			return
--- a/internal/runs/bench_test.go
+++ b/internal/runs/bench_test.go
@@ -17,8 +17,8 @@
 	now := time.Unix(1_800_000_000, 0)
 	target := &fakeTarget{}
 	t := New(Options{Log: logr.Discard(), Target: target, Outbox: discard{}, LeaseLimit: time.Second})
-	t.Announce(now, Announcement{Life: Life{Name: "t"}, Service: "s", Capacity: job.Demand{CPUMilli: 64_000, MemoryMB: 1 << 20}, ClockMs: 5000, Seq: 1})
-	call, _ := t.Renewal(now)
+	t.Announce(now, Announcement{Incarnation: Incarnation{Name: "t"}, Service: "s", Capacity: job.Demand{CPUMilli: 64_000, MemoryMB: 1 << 20}, ClockMs: 5000, Seq: 1})
+	call, _ := t.NextRenewal(now)
 	t.Renewed(now, now, call, Listing{ClockMs: 5000})
 	t.Connect(now, 1)
 	order := func(i int) {
@@ -36,8 +36,8 @@
 			t.Started(now, c, Accepted, 0)
 		}
 		target.starts = target.starts[:0]
-		call, _ := t.Renewal(now)
-		ended := []EndedRun{{Number: uint64(i + 1), Run: RunID{Task{Job: fmt.Sprint(i)}, 1}, End: Done}}
+		call, _ := t.NextRenewal(now)
+		ended := []EndedRun{{Seq: uint64(i + 1), Run: RunID{Task{Job: fmt.Sprint(i)}, 1}, End: Done}}
 		running := make([]RunID, 0, 10)
 		for k := range 10 {
 			running = append(running, RunID{Task{Job: fmt.Sprint(i + 1 + k)}, 1})
--- a/internal/runs/crash.go
+++ b/internal/runs/crash.go
@@ -50,9 +50,9 @@
 	if len(tasks) == 0 {
 		return
 	}
-	life := t.target.Life
-	event.Log(t.log, event.TargetCrashed, "target", life.Name, "born_ms", life.BornMs, "fate", int(fate), "tasks", len(tasks), "first", tasks[0].Job)
+	life := t.target.Incarnation
+	event.Log(t.log, event.TargetCrashed, "target", life.Name, "born_ms", life.StartedMs, "fate", int(fate), "tasks", len(tasks), "first", tasks[0].Job)
 	for _, o := range t.owners {
-		o.crashes = append(o.crashes, wire.Crash{Target: life.Name, BornMs: life.BornMs, Fate: fate, Tasks: tasks})
+		o.crashes = append(o.crashes, wire.Crash{Target: life.Name, BornMs: life.StartedMs, Fate: fate, Tasks: tasks})
 	}
 }
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -41,9 +41,9 @@
 	w := newWorld(t)
 	w.order(session, 1, task("a", 0), 7)
 	w.answer(0, Accepted)
-	w.loseRenewals(6, 60*time.Millisecond, Silent)
+	w.loseRenewals(6, 60*time.Millisecond, Unresponsive)
 	w.pass(1500 * time.Millisecond)
-	w.life = Life{Name: "t-1", BornMs: 9000}
+	w.life = Incarnation{Name: "t-1", StartedMs: 9000}
 	w.announce(1, false)
 	w.Expect(w.crashes(session)).To(HaveExactElements(HaveField("Fate", wire.FateSilent),
 		And(HaveField("Fate", wire.FateCrashed), HaveField("BornMs", int64(1000)), HaveField("Tasks", ConsistOf(wire.TaskRef{Job: "a"})))))
@@ -54,7 +54,7 @@
 	w := newWorld(t)
 	w.order(session, 1, task("a", 0), 7)
 	w.answer(0, Accepted)
-	w.loseRenewals(6, 60*time.Millisecond, Silent)
+	w.loseRenewals(6, 60*time.Millisecond, Unresponsive)
 	w.list(w.target.starts[0].Run)
 	w.Expect(w.crashes(session)).To(HaveExactElements(HaveField("Fate", wire.FateSilent), HaveField("Fate", wire.FateBack)))
 }
@@ -137,7 +137,7 @@
 func TestUnguardedTargetStartsNothingBeforeItHasSpoken(t *testing.T) {
 	w := newWorld(t)
 	w.Table = New(Options{Log: w.log, Target: w.target, Outbox: w.out, LeaseLimit: time.Second})
-	w.Recall(w.now, Announcement{Life: w.life, Service: "s", Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000}})
+	w.Restore(w.now, Announcement{Incarnation: w.life, Service: "s", Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000}})
 	w.list() // draws the token
 	w.list()
 	w.Connect(w.now, session)
--- a/internal/runs/evacuate.go
+++ b/internal/runs/evacuate.go
@@ -39,6 +39,6 @@
 	if !t.Evacuated() || len(t.queue) == 0 {
 		return
 	}
-	event.Log(t.log, event.OrdersReturned, "target", t.target.Life.Name, "orders", len(t.queue), "reason", "evacuated", "data_centre", t.dataCentre())
+	event.Log(t.log, event.OrdersReturned, "target", t.target.Incarnation.Name, "orders", len(t.queue), "reason", "evacuated", "data_centre", t.dataCentre())
 	t.returnQueue(wire.NotRunEvacuated)
 }
--- a/internal/runs/evacuate_test.go
+++ b/internal/runs/evacuate_test.go
@@ -59,7 +59,7 @@
 func TestTargetBornInAnEvacuatedDataCentreGetsNothing(t *testing.T) {
 	w := newWorld(t)
 	w.evacuate(false)
-	w.life = Life{Name: "t-2", BornMs: 2000}
+	w.life = Incarnation{Name: "t-2", StartedMs: 2000}
 	w.announce(1, false)
 	w.list()
 	w.order(session, 1, task("a", 0), 7)
@@ -87,7 +87,7 @@
 	w := newWorld(t)
 	w.Flush(w.now)
 	statement := wire.Evacuation{DataCentre: "b", Offset: 3}
-	w.NoteEvacuations(session, []wire.Evacuation{statement})
+	w.QueueEvacuations(session, []wire.Evacuation{statement})
 	w.Flush(w.now)
 	frames := w.out.sent[session]
 	w.Expect(frames[len(frames)-1].Evacuations).To(ConsistOf(statement))
--- a/internal/runs/harness_test.go
+++ b/internal/runs/harness_test.go
@@ -38,7 +38,7 @@
 	target *fakeTarget
 	out    *fakeOutbox
 	now    time.Time
-	life   Life
+	life   Incarnation
 	ends   uint64
 }
 
@@ -46,7 +46,7 @@
 
 func newWorld(t *testing.T) *world {
 	w := &world{WithT: NewWithT(t), target: &fakeTarget{}, out: &fakeOutbox{sent: map[ConnID][]*wire.LeasedToEntry{}},
-		now: time.Unix(1_800_000_000, 0), life: Life{Name: "t-1", BornMs: 1000}}
+		now: time.Unix(1_800_000_000, 0), life: Incarnation{Name: "t-1", StartedMs: 1000}}
 	w.Table = New(Options{Log: logr.Discard(), Target: w.target, Outbox: w.out, LeaseLimit: time.Second})
 	w.announce(1, false)
 	w.list()
@@ -55,7 +55,7 @@
 }
 
 func (w *world) announce(seq uint64, leaving bool) {
-	w.Announce(w.now, Announcement{Life: w.life, Service: "s", Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000},
+	w.Announce(w.now, Announcement{Incarnation: w.life, Service: "s", Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000},
 		ClockMs: 50_000 + w.now.Unix()%1000, Seq: seq, Leaving: leaving})
 }
 
@@ -76,16 +76,16 @@
 func (w *world) list(running ...RunID) { w.listEnds(nil, running...) }
 
 func (w *world) listEnds(ended []EndedRun, running ...RunID) {
-	call, known := w.Renewal(w.now)
+	call, known := w.NextRenewal(w.now)
 	w.Expect(known).To(BeTrue())
 	asked := w.now
 	w.now = w.now.Add(time.Millisecond)
-	w.Renewed(w.now, asked, call, Listing{ClockMs: 60_000, BornMs: w.life.BornMs, Running: running, Ended: ended})
+	w.Renewed(w.now, asked, call, Listing{ClockMs: 60_000, StartedMs: w.life.StartedMs, Running: running, Ended: ended})
 }
 
 func (w *world) end(run RunID, how End) EndedRun {
 	w.ends++
-	return EndedRun{Number: w.ends, Run: run, End: how}
+	return EndedRun{Seq: w.ends, Run: run, End: how}
 }
 
 // accepted answers the n-th start.
@@ -100,9 +100,9 @@
 }
 
 // loseRenewals lets some renewals in a row fail, each after a time.
-func (w *world) loseRenewals(times int, after time.Duration, why Unreachable) {
+func (w *world) loseRenewals(times int, after time.Duration, why RenewFailure) {
 	for range times {
-		call, _ := w.Renewal(w.now)
+		call, _ := w.NextRenewal(w.now)
 		w.now = w.now.Add(after)
 		w.RenewFailed(w.now, call, why)
 	}
--- a/internal/runs/life.go
+++ b/internal/runs/life.go
@@ -13,20 +13,20 @@
 // changes nothing.
 func (t *Table) Announce(now time.Time, a Announcement) (news bool) {
 	t.now = now
-	if t.known && a.Life == t.target.Life && a.Seq <= t.target.Seq {
+	if t.known && a.Incarnation == t.target.Incarnation && a.Seq <= t.target.Seq {
 		return false
 	}
-	if t.known && a.Life != t.target.Life && a.Life.BornMs < t.target.Life.BornMs {
-		event.Log(t.log, event.AnnouncementStale, "target", a.Life.Name, "born_ms", a.Life.BornMs, "known_born_ms", t.target.Life.BornMs)
+	if t.known && a.Incarnation != t.target.Incarnation && a.Incarnation.StartedMs < t.target.Incarnation.StartedMs {
+		event.Log(t.log, event.AnnouncementStale, "target", a.Incarnation.Name, "born_ms", a.Incarnation.StartedMs, "known_born_ms", t.target.Incarnation.StartedMs)
 		return false // a delayed word of a life before this one
 	}
-	if !t.known || a.Life != t.target.Life {
+	if !t.known || a.Incarnation != t.target.Incarnation {
 		t.adopt(a)
 		return true
 	}
 	leaves := a.Leaving && !t.target.Leaving
 	if leaves {
-		event.Log(t.log, event.TargetLeaving, "target", a.Life.Name, "seq", a.Seq)
+		event.Log(t.log, event.TargetLeaving, "target", a.Incarnation.Name, "seq", a.Seq)
 	}
 	was := t.target.Capacity
 	t.target, t.recalled = a, false
@@ -46,7 +46,7 @@
 // entries must neither send what no longer fits nor leave new room unused.
 func (t *Table) resized(was job.Demand) {
 	now := t.target.Capacity
-	event.Log(t.log, event.TargetResized, "target", t.target.Life.Name, "cpu_milli", now.CPUMilli, "memory_mb", now.MemoryMB,
+	event.Log(t.log, event.TargetResized, "target", t.target.Incarnation.Name, "cpu_milli", now.CPUMilli, "memory_mb", now.MemoryMB,
 		"was_cpu_milli", was.CPUMilli, "was_memory_mb", was.MemoryMB, "in_use_cpu_milli", t.inUse.CPUMilli, "waiting", len(t.queue))
 	for _, o := range t.owners {
 		o.target = true
@@ -64,10 +64,10 @@
 	t.fill()
 }
 
-// Recall takes what an earlier agent wrote down of the target, until the target speaks
+// Restore takes what an earlier agent wrote down of the target, until the target speaks
 // for itself. The target's clock is not known from it, so nothing starts before the
 // target has answered.
-func (t *Table) Recall(now time.Time, a Announcement) {
+func (t *Table) Restore(now time.Time, a Announcement) {
 	t.now = now
 	if t.known {
 		return
@@ -80,7 +80,7 @@
 // adopt begins another life of the target. What ran in the one before is gone with
 // it.
 func (t *Table) adopt(a Announcement) {
-	event.Log(t.log, event.TargetAnnounced, "target", a.Life.Name, "born_ms", a.Life.BornMs, "service", a.Service,
+	event.Log(t.log, event.TargetAnnounced, "target", a.Incarnation.Name, "born_ms", a.Incarnation.StartedMs, "service", a.Service,
 		"cpu_milli", a.Capacity.CPUMilli, "memory_mb", a.Capacity.MemoryMB, "labels", a.Labels, "leaving", a.Leaving)
 	t.endLife("another_life")
 	t.target, t.known, t.recalled = a, true, false
@@ -95,10 +95,10 @@
 	t.loadDirty = true
 }
 
-// Depart takes a target's word that it ends.
-func (t *Table) Depart(now time.Time, name string) {
+// Deregister takes a target's word that it ends.
+func (t *Table) Deregister(now time.Time, name string) {
 	t.now = now
-	if t.known && t.target.Life.Name == name && !t.target.Leaving {
+	if t.known && t.target.Incarnation.Name == name && !t.target.Leaving {
 		t.target.Leaving = true
 		t.returnQueue(wire.NotRunLeaving)
 		t.loadDirty = true
@@ -119,7 +119,7 @@
 	clear(t.foreign)
 	t.leaseEnd = time.Time{}
 	if ended > 0 {
-		event.Log(t.log, event.RunsStopped, "runs", ended, "reason", why, "target", t.target.Life.Name)
+		event.Log(t.log, event.RunsStopped, "runs", ended, "reason", why, "target", t.target.Incarnation.Name)
 	}
 }
 
--- a/internal/runs/listing.go
+++ b/internal/runs/listing.go
@@ -11,11 +11,11 @@
 // Renewed takes the answer to a renewal that was called at asked.
 func (t *Table) Renewed(now, asked time.Time, c RenewCall, l Listing) {
 	t.now = now
-	if c.Life != t.target.Life || l.BornMs != 0 && l.BornMs != c.Life.BornMs {
+	if c.Incarnation != t.target.Incarnation || l.StartedMs != 0 && l.StartedMs != c.Incarnation.StartedMs {
 		return
 	}
 	t.hearClock(now, l.ClockMs)
-	if l.BadToken || c.Token == 0 {
+	if l.StaleToken || c.Token == 0 {
 		t.raiseToken()
 		return // what was listed before this agent's token counts may be changed yet
 	}
@@ -23,7 +23,7 @@
 		t.granted()
 	}
 	if !t.reachable {
-		event.Log(t.log, event.TargetBack, "target", t.target.Life.Name, "failures", t.failures)
+		event.Log(t.log, event.TargetBack, "target", t.target.Incarnation.Name, "failures", t.failures)
 		t.reportBack()
 	}
 	t.heardAt = now
@@ -36,10 +36,10 @@
 
 func (t *Table) takeEnds(ended []EndedRun) {
 	for _, e := range ended {
-		if e.Number <= t.cursor {
+		if e.Seq <= t.cursor {
 			continue
 		}
-		t.cursor = e.Number
+		t.cursor = e.Seq
 		delete(t.foreign, e.Run)
 		r := t.runs[e.Run]
 		if r == nil || r.state == queued {
@@ -126,22 +126,22 @@
 	if _, known := t.foreign[id]; known {
 		return
 	}
-	event.Log(t.log, event.ForeignRun, "job", id.Task.Job, "task", id.Task.Index, "run", id.Number, "target", t.target.Life.Name)
+	event.Log(t.log, event.ForeignRun, "job", id.Task.Job, "task", id.Task.Index, "run", id.Number, "target", t.target.Incarnation.Name)
 	t.foreign[id] = t.now
-	t.o.Target.Stop(StopCall{Life: t.target.Life, Token: t.token, Run: id, Timeout: t.callTimeout()})
+	t.o.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: id, Timeout: t.callTimeout()})
 }
 
 // RenewFailed takes a renewal that brought no list.
-func (t *Table) RenewFailed(now time.Time, c RenewCall, why Unreachable) {
+func (t *Table) RenewFailed(now time.Time, c RenewCall, why RenewFailure) {
 	t.now = now
-	if c.Life != t.target.Life {
+	if c.Incarnation != t.target.Incarnation {
 		return
 	}
 	t.failures++
-	if why == Refused || why == Elsewhere {
+	if why == Refused || why == Replaced {
 		t.endLife("not_there")
 	}
-	if why == Elsewhere {
+	if why == Replaced {
 		t.known = false // it will announce itself
 		return
 	}
@@ -149,7 +149,7 @@
 		return // one lost or refused call says little; the next follows at once
 	}
 	if t.reachable {
-		event.Log(t.log, event.TargetSilent, "target", t.target.Life.Name, "reason", int(why), "failures", t.failures)
+		event.Log(t.log, event.TargetSilent, "target", t.target.Incarnation.Name, "reason", int(why), "failures", t.failures)
 		t.reachable = false
 		t.reportSilent()
 		t.returnQueue(wire.NotRunDown)
--- a/internal/runs/load.go
+++ b/internal/runs/load.go
@@ -48,7 +48,7 @@
 		f := &wire.LeasedToEntry{Load: &own, Outcomes: o.outcomes, Config: o.config, Evacuations: o.evacuations, Crashes: o.crashes}
 		if o.target {
 			f.Target = &wire.LeasedTarget{
-				Name: t.target.Life.Name, Service: t.target.Service, Labels: t.target.Labels, Capacity: t.target.Capacity, DataCentre: t.target.DataCentre,
+				Name: t.target.Incarnation.Name, Service: t.target.Service, Labels: t.target.Labels, Capacity: t.target.Capacity, DataCentre: t.target.DataCentre,
 			}
 		}
 		o.outcomes, o.config, o.evacuations, o.crashes, o.target, o.load = nil, nil, nil, nil, false, false
@@ -99,8 +99,8 @@
 // urgent makes a change of the load known at once.
 func (t *Table) urgent() { t.loadDirty, t.loadUrgent = true, true }
 
-// Note queues a note on the configuration for a session.
-func (t *Table) Note(conn ConnID, note wire.ConfigNote) {
+// QueueConfigNote queues a note on the configuration for a session.
+func (t *Table) QueueConfigNote(conn ConnID, note wire.ConfigNote) {
 	o := t.owners[conn]
 	if o == nil {
 		return
@@ -108,15 +108,15 @@
 	o.config = note.After(o.config)
 }
 
-// NoteEvacuations queues statements on evacuations for a session.
-func (t *Table) NoteEvacuations(conn ConnID, statements []wire.Evacuation) {
+// QueueEvacuations queues statements on evacuations for a session.
+func (t *Table) QueueEvacuations(conn ConnID, statements []wire.Evacuation) {
 	if o := t.owners[conn]; o != nil {
 		o.evacuations = append(o.evacuations, statements...)
 	}
 }
 
-// LoadDue reports whether a report of the load to a session in use waits for its time.
-func (t *Table) LoadDue() bool {
+// LoadReportPending reports whether a report of the load to a session in use waits for its time.
+func (t *Table) LoadReportPending() bool {
 	for _, o := range t.owners {
 		if o.stale && t.used(o) {
 			return true
@@ -230,7 +230,7 @@
 		return
 	}
 	t.health.shun(t.now)
-	event.Log(t.log, event.TargetStands, "target", t.target.Life.Name, "runs", len(t.runs), "speed", t.speed(), "for_ms", t.health.pause.Milliseconds())
+	event.Log(t.log, event.TargetStands, "target", t.target.Incarnation.Name, "runs", len(t.runs), "speed", t.speed(), "for_ms", t.health.pause.Milliseconds())
 	t.returnQueue(wire.NotRunDown)
 	t.urgent()
 }
--- a/internal/runs/orders.go
+++ b/internal/runs/orders.go
@@ -192,7 +192,7 @@
 func (t *Table) callStart(r *run) {
 	r.calledAt = t.now
 	t.o.Target.Start(StartCall{
-		Life: t.target.Life, Token: t.token, Run: r.id, Spec: r.order.Spec, LeaseUntilMs: t.leaseUntil(),
+		Incarnation: t.target.Incarnation, Token: t.token, Run: r.id, Spec: r.order.Spec, LeaseUntilMs: t.leaseUntil(),
 		Timeout: t.callTimeout(),
 	})
 }
@@ -272,6 +272,6 @@
 	r.owner.outcomes = append(r.owner.outcomes, out)
 	r.owner.linger(t.now)
 	event.Log(t.log.V(1), event.TaskReported, "job", r.id.Task.Job, "step", r.id.Task.Step, "task", r.id.Task.Index,
-		"run", r.id.Number, "target", t.target.Life.Name, "end", int(out.End), "reason", int(out.Reason),
+		"run", r.id.Number, "target", t.target.Incarnation.Name, "end", int(out.End), "reason", int(out.Reason),
 		"est", r.order.EstimateMs, "wait_ms", out.WaitMs, "run_ms", out.RunMs)
 }
--- a/internal/runs/report_test.go
+++ b/internal/runs/report_test.go
@@ -60,7 +60,7 @@
 	w.Expect(frames[2]).To(BeNumerically("~", 20, 2))
 
 	before := len(w.out.sent[2])
-	w.loseRenewals(8, 40*time.Millisecond, Silent)
+	w.loseRenewals(8, 40*time.Millisecond, Unresponsive)
 	w.Flush(w.now)
 	w.Expect(w.out.sent[2]).To(HaveLen(before + 1))
 	w.Expect(w.out.sent[2][before].Load.Down).To(BeTrue())
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -43,19 +43,19 @@
 	Number uint64
 }
 
-// Life names one life of a target: the same name may come back as another life
+// Incarnation names one life of a target: the same name may come back as another life
 // that knows nothing of the one before.
-type Life struct {
-	Name   string
-	BornMs int64
+type Incarnation struct {
+	Name      string
+	StartedMs int64
 }
 
 // Announcement is what a target says of itself.
 type Announcement struct {
-	Life     Life
-	Service  string
-	Labels   []string
-	Capacity job.Demand
+	Incarnation Incarnation
+	Service     string
+	Labels      []string
+	Capacity    job.Demand
 	// DataCentre is where the target says it is; empty: where its agent is.
 	DataCentre string
 	Leaving    bool
@@ -65,7 +65,7 @@
 
 // StartCall is one call that starts a run.
 type StartCall struct {
-	Life         Life
+	Incarnation  Incarnation
 	Token        int64 // fencing token
 	Run          RunID
 	Spec         string
@@ -75,21 +75,21 @@
 
 // StopCall is one call that stops a run, and fences it off where it isn't there.
 type StopCall struct {
-	Life  Life
-	Token int64
-	Run   RunID
+	Incarnation Incarnation
+	Token       int64
+	Run         RunID
 	// Timeout bounds the call.
 	Timeout time.Duration
 }
 
 // RenewCall renews the lease, acknowledges ends and asks for what runs.
 type RenewCall struct {
-	Life         Life
+	Incarnation  Incarnation
 	Token        int64 // 0 before the target's clock is known
 	LeaseUntilMs int64 // 0: don't renew
 	AckCursor    uint64
 	Wait         time.Duration // for an end
-	Slack        time.Duration // how much longer the call may take
+	ReplyTimeout time.Duration // how much longer the call may take
 }
 
 // Answer is a target's answer to a start or a stop.
@@ -97,14 +97,14 @@
 
 // Answers.
 const (
-	Accepted   Answer = iota + 1
-	NoAnswer          // it may have been carried out, or may still be
-	TurnedAway        // nothing was done, and nothing will be: unhealthy or bad
-	NoRoom
-	BadToken // another agent has shown a higher token
-	LateLease
-	LowRun    // a run as high was stopped or has ended there
-	OtherLife // another life answers at the address
+	Accepted Answer = iota + 1
+	NoAnswer        // it may have been carried out, or may still be
+	Rejected        // nothing was done, and nothing will be: unhealthy or bad
+	NoCapacity
+	StaleToken // another agent has shown a higher token
+	LeaseExpired
+	StaleRun         // a run as high was stopped or has ended there
+	OtherIncarnation // another life answers at the address
 )
 
 // End is how a run ended, as the target lists it.
@@ -119,30 +119,30 @@
 
 // EndedRun is an entry of the target's list of ends.
 type EndedRun struct {
-	Number uint64 // of the end, rising in one life
-	Run    RunID
-	End    End
+	Seq uint64 // of the end, rising in one life
+	Run RunID
+	End End
 }
 
 // Listing is what a target answers to a RenewCall.
 type Listing struct {
-	ClockMs int64
-	BornMs  int64 // 0: not said
-	Running []RunID
-	Ended   []EndedRun
-	// BadToken says that the target has seen a higher token and did nothing.
-	BadToken bool
+	ClockMs   int64
+	StartedMs int64 // 0: not said
+	Running   []RunID
+	Ended     []EndedRun
+	// StaleToken says that the target has seen a higher token and did nothing.
+	StaleToken bool
 }
 
-// Unreachable says why a RenewCall failed.
-type Unreachable uint8
+// RenewFailure says why a RenewCall failed.
+type RenewFailure uint8
 
 // Failures of a RenewCall.
 const (
-	Silent     Unreachable = iota + 1 // no answer in time, or the connection broke
-	Refused                           // nobody listens at the address: that life is over
-	Overloaded                        // it answered that it can't serve
-	Elsewhere                         // another life answers at the address
+	Unresponsive RenewFailure = iota + 1 // no answer in time, or the connection broke
+	Refused                              // nobody listens at the address: that life is over
+	Overloaded                           // it answered that it can't serve
+	Replaced                             // another life answers at the address
 )
 
 // Target carries calls to the target. No method may block.
@@ -295,8 +295,8 @@
 // Waiting returns how many orders wait for room.
 func (t *Table) Waiting() int { return len(t.queue) }
 
-// Leave takes no new work from now on; what runs is finished.
-func (t *Table) Leave(now time.Time) {
+// Drain takes no new work from now on; what runs is finished.
+func (t *Table) Drain(now time.Time) {
 	t.now = now
 	if !t.leaving {
 		t.leaving = true
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -71,7 +71,7 @@
 	w := newWorld(t)
 	w.order(session, 1, task("a", 0), 7)
 	w.answer(0, NoAnswer)
-	w.answer(1, LowRun)
+	w.answer(1, StaleRun)
 	w.Expect(w.outcomes(session)).To(BeEmpty())
 	w.pass(time.Millisecond)
 	w.listEnds([]EndedRun{w.end(w.target.starts[0].Run, Done)})
@@ -81,7 +81,7 @@
 // The first start is held up on its way, and the repeated one finds no room or a target
 // that is not well. The first may still come seconds later, when the task runs elsewhere.
 func TestRepeatedStartThatIsTurnedAwayIsFenced(t *testing.T) {
-	for _, answer := range []Answer{NoRoom, TurnedAway, LateLease, BadToken} {
+	for _, answer := range []Answer{NoCapacity, Rejected, LeaseExpired, StaleToken} {
 		w := newWorld(t)
 		w.order(session, 1, task("a", 0), 7)
 		w.answer(0, NoAnswer)
@@ -101,7 +101,7 @@
 	w := newWorld(t)
 	w.order(session, 1, task("a", 0), 7)
 	w.answer(0, NoAnswer)
-	w.answer(1, OtherLife)
+	w.answer(1, OtherIncarnation)
 	w.Expect(w.outcomes(session)).To(HaveKeyWithValue(uint64(1), HaveField("End", wire.EndStopped)))
 }
 
@@ -168,7 +168,7 @@
 // and they take room: they are stopped, and nothing starts before they are gone.
 func TestRunsOfAnEarlierAgentAreStoppedFirst(t *testing.T) {
 	w := newWorld(t)
-	w.life = Life{Name: "t-2", BornMs: 2000}
+	w.life = Incarnation{Name: "t-2", StartedMs: 2000}
 	w.announce(1, false)
 	old := RunID{task("old", 0), 3}
 	w.list(old)
@@ -186,10 +186,10 @@
 	w.order(session, 1, task("a", 0), 7)
 	w.answer(0, Accepted)
 	first := w.life
-	w.life.BornMs = 9000
+	w.life.StartedMs = 9000
 	w.announce(1, false)
 	w.Expect(w.outcomes(session)).To(HaveKeyWithValue(uint64(1), HaveField("End", wire.EndStopped)))
-	w.Announce(w.now, Announcement{Life: first, Service: "s", Seq: 99, Leaving: true})
+	w.Announce(w.now, Announcement{Incarnation: first, Service: "s", Seq: 99, Leaving: true})
 	w.list()
 	w.order(session, 2, task("a", 1), 7)
 	w.Expect(w.target.starts).To(HaveLen(2), "the second life is not leaving")
@@ -223,7 +223,7 @@
 	w.order(session, 2, task("a", 1), 7)
 	w.answer(1, Accepted)
 	w.order(session, 3, task("a", 2), 7)
-	w.loseRenewals(6, 50*time.Millisecond, Silent)
+	w.loseRenewals(6, 50*time.Millisecond, Unresponsive)
 	w.Expect(w.outcomes(session)).To(HaveLen(1), "what waited goes back")
 	w.pass(600 * time.Millisecond)
 	w.Expect(w.outcomes(session)).To(HaveLen(1))
@@ -239,11 +239,11 @@
 	w := newWorld(t)
 	w.order(session, 1, task("a", 0), 7)
 	w.answer(0, Accepted)
-	call, _ := w.Renewal(w.now)
+	call, _ := w.NextRenewal(w.now)
 	w.Expect(call.Wait).To(BeNumerically("<=", 120*time.Millisecond), "the task should take 100 ms")
 	before := w.health.speed()
 	w.now = w.now.Add(900 * time.Millisecond)
-	w.RenewFailed(w.now, call, Silent)
+	w.RenewFailed(w.now, call, Unresponsive)
 	w.listEnds([]EndedRun{w.end(w.target.starts[0].Run, Done)})
 	w.Expect(w.health.speed()).To(Equal(before))
 }
@@ -272,9 +272,9 @@
 		Seq: 1, Job: "a", Run: 7, Demand: job.Demand{CPUMilli: 1000}, EstimateMs: 1500, SlackMs: 100, GiveUpMs: 300, LimitMs: 3000,
 	}}})
 	w.answer(0, Accepted)
-	call, _ := w.Renewal(w.now)
-	w.now = w.now.Add(call.Wait + call.Slack)
-	w.RenewFailed(w.now, call, Silent)
+	call, _ := w.NextRenewal(w.now)
+	w.now = w.now.Add(call.Wait + call.ReplyTimeout)
+	w.RenewFailed(w.now, call, Unresponsive)
 	w.Expect(w.load().Down).To(BeFalse())
 }
 
@@ -307,7 +307,7 @@
 	w := newWorld(t)
 	w.order(session, 1, task("a", 0), 7)
 	w.answer(0, Accepted)
-	w.loseRenewals(3, 70*time.Millisecond, Silent)
+	w.loseRenewals(3, 70*time.Millisecond, Unresponsive)
 	w.Expect(w.load().Down).To(BeFalse())
 }
 
@@ -327,13 +327,13 @@
 func TestRecalledTargetIsAskedFirst(t *testing.T) {
 	w := newWorld(t)
 	fresh := New(w.o)
-	fresh.Recall(w.now, Announcement{Life: w.life, Service: "s", Capacity: w.Table.target.Capacity})
+	fresh.Restore(w.now, Announcement{Incarnation: w.life, Service: "s", Capacity: w.Table.target.Capacity})
 	w.Table = fresh
 	w.Connect(w.now, session)
 	w.order(session, 1, task("a", 0), 7)
 	w.Expect(w.target.starts).To(BeEmpty())
-	call, _ := w.Renewal(w.now)
-	w.Renewed(w.now, w.now, call, Listing{ClockMs: 60_000, BornMs: w.life.BornMs, BadToken: true})
+	call, _ := w.NextRenewal(w.now)
+	w.Renewed(w.now, w.now, call, Listing{ClockMs: 60_000, StartedMs: w.life.StartedMs, StaleToken: true})
 	w.Expect(w.target.starts).To(BeEmpty(), "the token of the agent before is higher")
 	w.list()
 	w.Expect(w.target.starts).To(HaveLen(1))
@@ -345,13 +345,13 @@
 func TestRecalledTargetIsGone(t *testing.T) {
 	w := newWorld(t)
 	w.Table = New(w.o)
-	w.Recall(w.now, Announcement{Life: Life{Name: "old"}, Service: "s"})
-	call, _ := w.Renewal(w.now)
-	w.RenewFailed(w.now, call, Elsewhere)
-	_, known := w.Renewal(w.now)
+	w.Restore(w.now, Announcement{Incarnation: Incarnation{Name: "old"}, Service: "s"})
+	call, _ := w.NextRenewal(w.now)
+	w.RenewFailed(w.now, call, Replaced)
+	_, known := w.NextRenewal(w.now)
 	w.Expect(known).To(BeFalse())
 	w.announce(1, false)
-	_, known = w.Renewal(w.now)
+	_, known = w.NextRenewal(w.now)
 	w.Expect(known).To(BeTrue())
 }
 
--- a/internal/runs/stop.go
+++ b/internal/runs/stop.go
@@ -26,7 +26,7 @@
 func (t *Table) callStop(r *run) {
 	r.stopCalled, r.stopCalledAt = true, t.now
 	r.stopCalls++
-	t.o.Target.Stop(StopCall{Life: t.target.Life, Token: t.token, Run: r.id, Timeout: t.callTimeout()})
+	t.o.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: r.id, Timeout: t.callTimeout()})
 }
 
 // Stopped takes the answer to a stop.
@@ -36,7 +36,7 @@
 		t.foreign[c.Run] = time.Time{} // again with the next tick
 	}
 	r := t.runs[c.Run]
-	if r == nil || c.Life != t.target.Life {
+	if r == nil || c.Incarnation != t.target.Incarnation {
 		return
 	}
 	r.stopCalled = false
@@ -45,7 +45,7 @@
 		if r.stopConfirmed.IsZero() {
 			r.stopConfirmed = now
 		}
-	case BadToken:
+	case StaleToken:
 		t.raiseToken()
 		r.stopCalls = 0 // with the new token at once
 	}
@@ -65,7 +65,7 @@
 	for id, at := range t.foreign {
 		if t.now.Sub(at) > stopRetry {
 			t.foreign[id] = t.now
-			t.o.Target.Stop(StopCall{Life: t.target.Life, Token: t.token, Run: id, Timeout: t.callTimeout()})
+			t.o.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: id, Timeout: t.callTimeout()})
 		}
 	}
 }
--- a/internal/runs/target.go
+++ b/internal/runs/target.go
@@ -74,17 +74,17 @@
 	}
 }
 
-// Renewal returns the next call that renews the lease, and false while no target is
+// NextRenewal returns the next call that renews the lease, and false while no target is
 // known.
-func (t *Table) Renewal(now time.Time) (RenewCall, bool) {
+func (t *Table) NextRenewal(now time.Time) (RenewCall, bool) {
 	t.now = now
 	if !t.known {
 		return RenewCall{}, false
 	}
-	c := RenewCall{Life: t.target.Life, Token: t.token, AckCursor: t.cursor, Wait: renewWait, Slack: t.callTimeout()}
+	c := RenewCall{Incarnation: t.target.Incarnation, Token: t.token, AckCursor: t.cursor, Wait: renewWait, ReplyTimeout: t.callTimeout()}
 	switch {
 	case t.failures > 1:
-		c.Wait, c.Slack = 0, mostTimeout // the target may be slow and not deaf
+		c.Wait, c.ReplyTimeout = 0, mostTimeout // the target may be slow and not deaf
 	case t.failures > 0 || !t.looked || len(t.foreign) > 0:
 		c.Wait = 0
 	case len(t.runs) == 0:
@@ -125,7 +125,7 @@
 func (t *Table) Started(now time.Time, c StartCall, answer Answer, clockMs int64) {
 	t.now = now
 	r := t.runs[c.Run]
-	if r == nil || c.Life != t.target.Life || r.state == queued {
+	if r == nil || c.Incarnation != t.target.Incarnation || r.state == queued {
 		return
 	}
 	t.hearClock(now, clockMs)
@@ -133,7 +133,7 @@
 		t.heardAt = now
 		t.answerMs += answerWeight * (clock.Millis(now.Sub(r.calledAt)) - t.answerMs)
 	}
-	if answer == Accepted || answer == NoRoom || answer == LowRun {
+	if answer == Accepted || answer == NoCapacity || answer == StaleRun {
 		t.granted() // the lease is taken from these as well
 	}
 	switch answer {
@@ -161,7 +161,7 @@
 		return // it is listed, and only the answer was lost; or it is being stopped
 	}
 	event.Log(t.log, event.StartUnanswered, "job", r.id.Task.Job, "task", r.id.Task.Index, "run", r.id.Number,
-		"target", t.target.Life.Name, "after_ms", clock.Millis(t.now.Sub(r.calledAt)), "repeats", r.repeats)
+		"target", t.target.Incarnation.Name, "after_ms", clock.Millis(t.now.Sub(r.calledAt)), "repeats", r.repeats)
 	if t.Evacuated() {
 		t.stop(r, wire.NotRunEvacuated)
 		return
@@ -178,11 +178,11 @@
 func (t *Table) turnedAway(r *run, answer Answer) {
 	reason := wire.NotRunTurned
 	switch answer {
-	case LowRun:
+	case StaleRun:
 		reason = wire.NotRunStale
-	case BadToken:
+	case StaleToken:
 		t.raiseToken()
-	case TurnedAway:
+	case Rejected:
 		t.health.turnedAway(t.now)
 	}
 	if r.repeats > 0 {
@@ -190,7 +190,7 @@
 		return
 	}
 	event.Log(t.log, event.StartTurnedAway, "job", r.id.Task.Job, "task", r.id.Task.Index, "run", r.id.Number,
-		"target", t.target.Life.Name, "answer", int(answer))
+		"target", t.target.Incarnation.Name, "answer", int(answer))
 	t.counts.NotRun++
 	t.settleAs(r, wire.RunOutcome{Seq: r.order.Seq, End: wire.EndNotRun, Reason: reason})
 }
@@ -199,13 +199,13 @@
 // before, which may have been carried out, or may still be.
 func (t *Table) repeatTurnedAway(r *run, answer Answer) {
 	switch answer {
-	case LowRun:
+	case StaleRun:
 		// It has run and ended, and the next list tells how.
 		r.everRan, r.startedAt = true, t.now
 		if r.state == starting {
 			r.state = running
 		}
-	case OtherLife:
+	case OtherIncarnation:
 		t.end(r)
 	default:
 		t.stop(r, wire.NotRunNoAnswer)
