--- a/internal/leased/simlog_test.go
+++ b/internal/leased/simlog_test.go
@@ -19,9 +19,9 @@
 
 // simLog is the operators' part of the platform's log.
 type simLog struct {
-	records []evacuation.Record // an offset each
-	first   int                    // the lowest offset that is kept
-	since   map[string]time.Time   // of the evacuations in force
+	records []evacuation.Record  // an offset each
+	first   int                  // the lowest offset that is kept
+	since   map[string]time.Time // of the evacuations in force
 	newest  map[string]evacuation.Record
 }
 
--- a/internal/owner/choose.go
+++ b/internal/owner/choose.go
@@ -39,17 +39,17 @@
 func (c *Core) candidate(now time.Time, a *agent) placement.Candidate {
 	id := uint64(a.incarnation)
 	return placement.Candidate{
-		AgentID:      id,
-		Classes:    a.target.Classes,
-		Speed:      c.speed(now, a),
-		Credits:    a.credits(),
-		InFlight:   len(a.attempts),
-		WaitMs:     a.gap.WaitMs(now),
-		Free:       a.target.Capacity.Minus(a.inUse),
-		Rack:       a.rack,
-		DataCentre: a.dataCentre,
-		Local:      a.dataCentre == c.opts.DataCentre,
-		MaxInFlight:  c.health.MaxInFlight(id, now),
+		AgentID:     id,
+		Classes:     a.target.Classes,
+		Speed:       c.speed(now, a),
+		Credits:     a.credits(),
+		InFlight:    len(a.attempts),
+		WaitMs:      a.gap.WaitMs(now),
+		Free:        a.target.Capacity.Minus(a.inUse),
+		Rack:        a.rack,
+		DataCentre:  a.dataCentre,
+		Local:       a.dataCentre == c.opts.DataCentre,
+		MaxInFlight: c.health.MaxInFlight(id, now),
 	}
 }
 
@@ -66,12 +66,12 @@
 
 func (c *Core) taskView(now time.Time, l *liveJob, task int, slackMs float64) placement.Task {
 	t := placement.Task{
-		Class:      l.sub.Class,
-		EstimateMs: l.tasks[task].estimateMs,
-		Demand:     l.sub.Tasks[task].Demand,
-		SlackMs:    slackMs,
-		ErrorFactor:     c.estimator.ErrorFactor(l.sub.Class),
-		DeadlineIn: l.sub.ID.Deadline.Sub(now),
+		Class:       l.sub.Class,
+		EstimateMs:  l.tasks[task].estimateMs,
+		Demand:      l.sub.Tasks[task].Demand,
+		SlackMs:     slackMs,
+		ErrorFactor: c.estimator.ErrorFactor(l.sub.Class),
+		DeadlineIn:  l.sub.ID.Deadline.Sub(now),
 	}
 	if l.sub.SpreadRacks {
 		t.AvoidRacks = l.racks()
--- a/internal/owner/configure.go
+++ b/internal/owner/configure.go
@@ -37,7 +37,7 @@
 		quotas: s,
 	}
 	c.health.SetLimits(health.Limits{
-		BrokenFailureRate: float64(s.BrokenPercent) / 100,
+		BrokenFailureRate:    float64(s.BrokenPercent) / 100,
 		InitialTrialInterval: millis(s.FirstTrialMs), MaxTrialInterval: millis(s.LastTrialMs),
 	})
 	c.limiter.SetLimits(s.Quotas())
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -22,9 +22,9 @@
 	MaxAttempts int    // ends "failed" of one task that fail its job
 	// Stretch and Latency give the time by which a job should be answered: Stretch
 	// times its longest chain of work, and Latency more.
-	Stretch float64
+	Stretch          float64
 	LatencyAllowance time.Duration
-	Timeout time.Duration // longest time of a request; 0: none
+	Timeout          time.Duration // longest time of a request; 0: none
 	// EnforcesCapacity says that the service's targets turn away what exceeds their capacity.
 	EnforcesCapacity bool
 	// RequiresAdvice queues may run a step only on targets that a service outside names.
@@ -39,7 +39,7 @@
 
 // Service is a pool of targets.
 type Service struct {
-	Name    string
+	Name             string
 	EnforcesCapacity bool // its targets turn away what exceeds their capacity
 }
 
--- a/internal/scheduler/health/tracker.go
+++ b/internal/scheduler/health/tracker.go
@@ -44,7 +44,7 @@
 	// allowance has then grown to 32, beyond the slots of one target.
 	provenAfter = 5
 	// forgiveAfter is how long an agent has to stay well before the distance of
-	// trials starts from FirstTrial again. Longer than LastTrial, so that a
+	// trials starts from InitialTrialInterval again. Longer than MaxTrialInterval, so that a
 	// target that fails again and again is tried ever more seldom.
 	forgiveAfter = time.Minute
 	// rateSteps is the resolution of the fleet's histogram of failure rates.
@@ -74,10 +74,10 @@
 
 // Kinds of outcome.
 const (
-	Succeeded  Outcome = iota
-	Failed          // the target ran it and reported failure
-	Rejected      // the target refused it or could not be called
-	Lost            // the outcome is unknown
+	Succeeded Outcome = iota
+	Failed            // the target ran it and reported failure
+	Rejected          // the target refused it or could not be called
+	Lost              // the outcome is unknown
 )
 
 type agent struct {
@@ -102,7 +102,7 @@
 
 // Limits are what operators may set.
 type Limits struct {
-	BrokenFailureRate            float64 // failure rate a broken target is taken to have, above leastRate and below 1
+	BrokenFailureRate                      float64 // failure rate a broken target is taken to have, above leastRate and below 1
 	InitialTrialInterval, MaxTrialInterval time.Duration
 }
 
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -58,7 +58,7 @@
 
 // Candidate is a target as its owner sees it now.
 type Candidate struct {
-	AgentID   uint64
+	AgentID uint64
 	Classes []string // of tasks that it serves; empty: all
 	Speed   float64  // measured, relative to a target of speed 1
 	Credits int      // starts allowed now
@@ -67,13 +67,13 @@
 	InFlight int
 	// WaitMs is the expected time until a credit comes from a target without
 	// one; 0 means unknown, and then nothing is held back for it.
-	WaitMs     float64
-	Free       job.Demand // resources not taken
-	Rack       string
-	DataCentre string
-	PenaltyMs    float64 // milliseconds added to the ranking, for targets in doubt
-	Local      bool    // in the owner's own data centre
-	MaxInFlight  int     // most tasks in flight that its health allows
+	WaitMs      float64
+	Free        job.Demand // resources not taken
+	Rack        string
+	DataCentre  string
+	PenaltyMs   float64 // milliseconds added to the ranking, for targets in doubt
+	Local       bool    // in the owner's own data centre
+	MaxInFlight int     // most tasks in flight that its health allows
 }
 
 // Task is what is to be placed.
@@ -86,9 +86,9 @@
 	SlackMs float64
 	// ErrorFactor is the factor by which a run time typically differs from its
 	// estimate; below 1 counts as 1.
-	ErrorFactor     float64
-	AvoidRacks []string      // racks where the job has tasks and asked for a spread
-	DeadlineIn time.Duration // 0: none
+	ErrorFactor float64
+	AvoidRacks  []string      // racks where the job has tasks and asked for a spread
+	DeadlineIn  time.Duration // 0: none
 }
 
 // Options are what an operator may choose.
--- a/internal/scheduler/queueing/rank.go
+++ b/internal/scheduler/queueing/rank.go
@@ -79,7 +79,7 @@
 	return arrived + int64(bounded(AgeingFactor*sizeMs(j), j))
 }
 
-// bounded keeps how far a job stands behind later ones below OvertakenShare of its
+// bounded keeps how far a job stands behind later ones below MaxOvertakeShare of its
 // time.
 func bounded(behindMs float64, j Job) float64 {
 	if j.Deadline.IsZero() {
--- a/internal/scheduler/quota/quota.go
+++ b/internal/scheduler/quota/quota.go
@@ -14,7 +14,7 @@
 // by one task an entry, and a team is never shut out.
 //
 // A team without a quota may use every slot, until the owner says that the queue
-// is long (SetContended) and other teams wait: then it is held to FairSlack times
+// is long (SetContended) and other teams wait: then it is held to FairShareFactor times
 // its equal share. In a short queue the order by work already lets small teams
 // through, and a share would only leave slots idle that a large job could use.
 package quota
--- a/internal/scheduler/shedding/shedding.go
+++ b/internal/scheduler/shedding/shedding.go
@@ -25,7 +25,7 @@
 type Job struct {
 	RemainingMs float64
 	LongestMs   float64
-	Started       bool          // a task of it was sent
+	Started     bool          // a task of it was sent
 	DeadlineIn  time.Duration // time left, negative when past
 }
 
@@ -34,9 +34,9 @@
 
 // Reasons.
 const (
-	Keep     Reason = iota
-	Infeasible        // no free target could finish it in time
-	WaitTooLong          // too much work goes before it
+	Keep        Reason = iota
+	Infeasible         // no free target could finish it in time
+	WaitTooLong        // too much work goes before it
 )
 
 var reasonNames = [...]string{"keep", "hopeless", "behind"}
--- a/internal/scheduler/waiting/waiting.go
+++ b/internal/scheduler/waiting/waiting.go
@@ -16,8 +16,8 @@
 
 // RunningTask is a running task.
 type RunningTask struct {
-	CPUMilli int
-	RemainingMs   float64 // expected time to its end; below zero where it is overdue
+	CPUMilli    int
+	RemainingMs float64 // expected time to its end; below zero where it is overdue
 }
 
 // QueuedTask is a waiting task; they are given in the order in which they will start.
