--- a/internal/scheduler/health/tracker.go
+++ b/internal/scheduler/health/tracker.go
@@ -1,19 +1,19 @@
-// Package health rates agents by the outcomes of their tasks and says how much
-// work each may hold.
+// Package health rates agents by the outcomes of their tasks and limits how many tasks
+// each may have in flight.
 //
-// The pattern of load: a target that fails everything at once frees its slots at
-// once, so it looks like the fastest of all, and any rule that sends work to free
-// slots feeds it the whole queue. One such target among ten can fail most jobs
-// of a fleet within a second. Yet a class whose tasks fail everywhere must not
-// get every target thrown out, and a target that is well again must get its work
-// back without a burst of failures if it is not.
+// A target that fails every task at once also frees its slots at once, so it looks like
+// the fastest target, and a policy that sends work to free slots feeds it the whole
+// queue. One such target among ten can fail most jobs of a fleet within a second. Two
+// conditions limit the reaction: a class whose tasks fail everywhere must not eject every
+// target, and a recovered target must get its work back without causing a burst of
+// failures if it is still broken.
 //
-// Why this works: each outcome adds to or takes from the agent's evidence the
-// logarithm of how much likelier it is from a broken target than from the median
-// agent (a sequential probability ratio test). When the median agent fails too,
-// a failure says nothing against this one and nobody is thrown out. An agent
-// that is out gets single trial tasks at growing distances; after a trial that
-// succeeds its allowance doubles with each further success until it is well.
+// Detection is a sequential probability ratio test: each outcome adds to the agent's
+// log-likelihood ratio the logarithm of how much likelier the outcome is from a broken
+// target than from the median agent. When the median agent fails too, a failure is no
+// evidence against this one, and no agent is ejected. An ejected agent gets single trial
+// tasks at exponentially growing intervals; after a successful trial its in-flight limit
+// doubles with each further success until it counts as healthy.
 package health
 
 import (
@@ -22,42 +22,44 @@
 )
 
 const (
-	// brokenRate is the failure rate a broken target is taken to have. Less than
-	// one, so that a target which still succeeds at times is found too.
-	brokenRate = 0.6
-	// leastRate is the failure rate granted to every agent. With it, three
-	// failures in a row put an agent out in a fleet where nothing else fails,
+	// brokenFailureRate is the assumed failure rate of a broken target. It is below one
+	// so that a target that still succeeds occasionally is detected too.
+	brokenFailureRate = 0.6
+	// minFailureRate is the lowest failure rate expected of a healthy agent. With it,
+	// three consecutive failures eject an agent in a fleet where nothing else fails,
 	// and one failure in twenty results never does.
-	leastRate = 0.02
-	// outAbove is the evidence at which an agent is out: odds of e^10, about
-	// 1 to 22,000, so that chance throws out a sound agent hardly ever.
-	outAbove = 10
-	// rateMemory is over how many outcomes an agent's failure rate forgets.
-	rateMemory = 8
-	// InitialTrialInterval is the wait before the first trial task. Shorter, and a target
-	// in the middle of a restart fails it for sure.
+	minFailureRate = 0.02
+	// ejectThreshold is the log-likelihood ratio above which an agent is ejected: odds
+	// of e^10, about 1 to 22,000, so that chance almost never ejects a healthy agent.
+	ejectThreshold = 10
+	// failureRateWindow is the number of outcomes over which an agent's failure rate is
+	// averaged (exponential moving average).
+	failureRateWindow = 8
+	// InitialTrialInterval is the delay between an ejection and the first trial task. A
+	// target in the middle of a restart would certainly fail an earlier trial.
 	InitialTrialInterval = time.Second
-	// MaxTrialInterval caps the growing distance of trials, so that a target which is
-	// mended takes part again within half a minute.
+	// MaxTrialInterval caps the growing interval between trials, so that a repaired
+	// target gets work again within half a minute.
 	MaxTrialInterval = 30 * time.Second
-	// provenAfter is how many successes in a row end the probation. The
-	// allowance has then grown to 32, beyond the slots of one target.
-	provenAfter = 5
-	// forgiveAfter is how long an agent has to stay well before the distance of
-	// trials starts from InitialTrialInterval again. Longer than MaxTrialInterval, so that a
-	// target that fails again and again is tried ever more seldom.
-	forgiveAfter = time.Minute
-	// rateSteps is the resolution of the fleet's histogram of failure rates.
-	rateSteps = 20
+	// probationSuccesses is the number of consecutive successes that end the probation.
+	// The in-flight limit has then grown to 32, more than one target has slots.
+	probationSuccesses = 5
+	// trialResetAfter is how long an agent must stay healthy before its trial interval
+	// is reset to InitialTrialInterval. It is longer than MaxTrialInterval, so that a
+	// target that fails repeatedly is tried less and less often.
+	trialResetAfter = time.Minute
+	// rateBuckets is the resolution of the histogram of the agents' failure rates.
+	rateBuckets = 20
 )
 
-// Unlimited is the allowance of an agent in good health.
+// Unlimited is the in-flight limit of a healthy agent.
 const Unlimited = math.MaxInt32
 
-// Rating is how an agent stands.
+// Rating is the health of an agent.
 type Rating uint8
 
-// Ratings.
+// Ratings: a healthy agent has no limit, one on probation a growing limit, and an ejected
+// one gets single trial tasks only.
 const (
 	Healthy Rating = iota
 	Probation
@@ -69,133 +71,137 @@
 // String returns the rating's name in logs.
 func (r Rating) String() string { return ratingNames[r] }
 
-// Outcome says what went wrong with a task.
+// Outcome is the result of a task as far as it concerns the health of its target.
 type Outcome uint8
 
-// Kinds of outcome.
+// Outcomes of a task.
 const (
 	Succeeded Outcome = iota
-	Failed            // the target ran it and reported failure
-	Rejected          // the target refused it or could not be called
+	Failed            // the target ran the task and reported a failure
+	Rejected          // the target refused the task or could not be called
 	Lost              // the outcome is unknown
 )
 
 type agent struct {
-	rating    Rating
-	evidence  float64
-	rate      float64 // moving failure rate
-	seen      bool
-	successes int // in a row during probation
-	distance  time.Duration
-	nextTrial time.Time
-	wellSince time.Time
+	rating             Rating
+	logLikelihoodRatio float64
+	failureRate        float64 // moving failure rate
+	counted            bool
+	successes          int // consecutive, during probation
+	trialInterval      time.Duration
+	nextTrial          time.Time
+	healthySince       time.Time
 }
 
 // Tracker rates agents. It is not safe for concurrent use.
 type Tracker struct {
-	agents map[uint64]*agent
-	rates  [rateSteps + 1]int // histogram of the agents' failure rates
-	known  int                // agents in the histogram
-	out    int
-	limits Limits
+	agents        map[uint64]*agent
+	rateHistogram [rateBuckets + 1]int // histogram of the agents' failure rates
+	known         int                  // agents in the histogram
+	ejected       int
+	limits        Limits
 }
 
-// Limits are what operators may set.
+// Limits are the parameters that operators may set.
 type Limits struct {
-	BrokenFailureRate                      float64 // failure rate a broken target is taken to have, above leastRate and below 1
+	BrokenFailureRate                      float64 // assumed failure rate of a broken target, above minFailureRate and below 1
 	InitialTrialInterval, MaxTrialInterval time.Duration
 }
 
-// SetLimits replaces the limits, for outcomes from now on.
+// SetLimits replaces the limits for all later outcomes.
 func (t *Tracker) SetLimits(l Limits) { t.limits = l }
 
-// New returns an empty tracker.
+// New returns an empty tracker with the default limits.
 func New() *Tracker {
-	return &Tracker{agents: map[uint64]*agent{}, limits: Limits{brokenRate, InitialTrialInterval, MaxTrialInterval}}
+	return &Tracker{agents: map[uint64]*agent{}, limits: Limits{brokenFailureRate, InitialTrialInterval, MaxTrialInterval}}
 }
 
-// Observe takes one outcome and reports whether the agent's rating changed.
-func (t *Tracker) Observe(id uint64, ok bool, kind Outcome, now time.Time) (changed bool) {
+// Observe records one outcome of an agent's task and reports whether the agent's rating
+// changed.
+func (t *Tracker) Observe(id uint64, ok bool, outcome Outcome, now time.Time) (changed bool) {
 	a := t.agents[id]
 	if a == nil {
-		a = &agent{distance: t.limits.InitialTrialInterval, wellSince: now}
+		a = &agent{trialInterval: t.limits.InitialTrialInterval, healthySince: now}
 		t.agents[id] = a
 	}
 	before := a.rating
-	usual := t.median()
-	t.updateRate(a, ok)
+	medianRate := t.medianFailureRate()
+	t.updateFailureRate(a, ok)
 	switch a.rating {
 	case Healthy:
-		t.weigh(a, ok, usual, now)
+		t.updateEvidence(a, ok, medianRate, now)
 	case Probation:
-		t.prove(a, ok, now)
+		t.recordProbation(a, ok, now)
 	case Ejected:
-		t.trial(a, ok, now)
+		t.recordTrial(a, ok, now)
 	}
 	return a.rating != before
 }
 
-// weigh adds one outcome to the evidence against an agent that is well.
-func (t *Tracker) weigh(a *agent, ok bool, usual float64, now time.Time) {
-	p := max(usual, leastRate)
-	if p >= t.limits.BrokenFailureRate {
-		a.evidence = 0
+// updateEvidence adds one outcome to the log-likelihood ratio of a healthy agent and
+// ejects it above ejectThreshold.
+func (t *Tracker) updateEvidence(a *agent, ok bool, medianRate float64, now time.Time) {
+	expectedRate := max(medianRate, minFailureRate)
+	if expectedRate >= t.limits.BrokenFailureRate {
+		a.logLikelihoodRatio = 0
 		return
 	}
 	if ok {
-		a.evidence = max(0, a.evidence+math.Log((1-t.limits.BrokenFailureRate)/(1-p)))
+		a.logLikelihoodRatio = max(0, a.logLikelihoodRatio+math.Log((1-t.limits.BrokenFailureRate)/(1-expectedRate)))
 		return
 	}
-	a.evidence += math.Log(t.limits.BrokenFailureRate / p)
-	if a.evidence > outAbove && t.mayPutOut() {
-		t.putOut(a, now)
+	a.logLikelihoodRatio += math.Log(t.limits.BrokenFailureRate / expectedRate)
+	if a.logLikelihoodRatio > ejectThreshold && t.mayEject() {
+		t.eject(a, now)
 	}
 }
 
-// mayPutOut guards against putting out more than half of the agents: with fewer
-// left, the rest would be overrun and fail as well.
-func (t *Tracker) mayPutOut() bool { return 2*(t.out+1) <= t.known }
+// mayEject reports whether one more agent may be ejected. At most half of the agents are,
+// because the remaining ones would be overloaded and fail as well.
+func (t *Tracker) mayEject() bool { return 2*(t.ejected+1) <= t.known }
 
-func (t *Tracker) putOut(a *agent, now time.Time) {
-	if a.rating == Healthy && now.Sub(a.wellSince) > forgiveAfter {
-		a.distance = t.limits.InitialTrialInterval
+// eject rates the agent Ejected, schedules its next trial and doubles the interval that
+// follows, up to the limit.
+func (t *Tracker) eject(a *agent, now time.Time) {
+	if a.rating == Healthy && now.Sub(a.healthySince) > trialResetAfter {
+		a.trialInterval = t.limits.InitialTrialInterval
 	}
 	a.rating = Ejected
-	a.evidence = 0
-	a.nextTrial = now.Add(a.distance)
-	a.distance = min(2*a.distance, t.limits.MaxTrialInterval)
-	t.out++
+	a.logLikelihoodRatio = 0
+	a.nextTrial = now.Add(a.trialInterval)
+	a.trialInterval = min(2*a.trialInterval, t.limits.MaxTrialInterval)
+	t.ejected++
 }
 
-// trial takes an outcome of an agent that is out. Tasks that were under way when
-// it went out come back before the trial is due and count for nothing.
-func (t *Tracker) trial(a *agent, ok bool, now time.Time) {
+// recordTrial records an outcome of an ejected agent. Outcomes that arrive before the
+// trial is due come from tasks that were in flight at the ejection; they are ignored.
+func (t *Tracker) recordTrial(a *agent, ok bool, now time.Time) {
 	if now.Before(a.nextTrial) {
 		return
 	}
-	t.out--
+	t.ejected--
 	if !ok {
-		t.putOut(a, now)
+		t.eject(a, now)
 		return
 	}
 	a.rating = Probation
 	a.successes = 1
 }
 
-// prove takes an outcome of an agent on probation.
-func (t *Tracker) prove(a *agent, ok bool, now time.Time) {
+// recordProbation records an outcome of an agent on probation.
+func (t *Tracker) recordProbation(a *agent, ok bool, now time.Time) {
 	if !ok {
-		t.putOut(a, now)
+		t.eject(a, now)
 		return
 	}
 	a.successes++
-	if a.successes >= provenAfter {
+	if a.successes >= probationSuccesses {
 		a.rating = Healthy
-		a.wellSince = now
+		a.healthySince = now
 	}
 }
 
-// Rating returns how the agent stands.
+// Rating returns the agent's rating; an unknown agent is healthy.
 func (t *Tracker) Rating(id uint64) Rating {
 	if a := t.agents[id]; a != nil {
 		return a.rating
@@ -203,7 +209,7 @@
 	return Healthy
 }
 
-// MaxInFlight returns how many tasks the agent may hold at once.
+// MaxInFlight returns how many tasks the agent may have in flight now.
 func (t *Tracker) MaxInFlight(id uint64, now time.Time) int {
 	a := t.agents[id]
 	switch {
@@ -218,7 +224,8 @@
 	}
 }
 
-// NextTrial returns when an agent that is out may be tried again, and false for others.
+// NextTrial returns the time from which an ejected agent may get a trial task, and false
+// for an agent that is not ejected.
 func (t *Tracker) NextTrial(id uint64) (time.Time, bool) {
 	a := t.agents[id]
 	if a == nil || a.rating != Ejected {
@@ -227,45 +234,48 @@
 	return a.nextTrial, true
 }
 
-// Forget drops an agent that is gone.
+// Forget removes an agent that is no longer part of the fleet.
 func (t *Tracker) Forget(id uint64) {
 	a := t.agents[id]
 	if a == nil {
 		return
 	}
 	if a.rating == Ejected {
-		t.out--
+		t.ejected--
 	}
-	t.rates[step(a.rate)]--
+	t.rateHistogram[rateBucket(a.failureRate)]--
 	t.known--
 	delete(t.agents, id)
 }
 
-func (t *Tracker) updateRate(a *agent, ok bool) {
-	if a.seen {
-		t.rates[step(a.rate)]--
+// updateFailureRate updates the agent's moving failure rate and moves the agent to its
+// new bucket of the histogram.
+func (t *Tracker) updateFailureRate(a *agent, ok bool) {
+	if a.counted {
+		t.rateHistogram[rateBucket(a.failureRate)]--
 	} else {
-		a.seen = true
+		a.counted = true
 		t.known++
 	}
 	outcome := 0.0
 	if !ok {
 		outcome = 1
 	}
-	a.rate += (outcome - a.rate) / rateMemory
-	t.rates[step(a.rate)]++
+	a.failureRate += (outcome - a.failureRate) / failureRateWindow
+	t.rateHistogram[rateBucket(a.failureRate)]++
 }
 
-// median returns the (lower) median of the agents' failure rates.
-func (t *Tracker) median() float64 {
-	left := (t.known + 1) / 2
-	for i, n := range t.rates {
-		left -= n
-		if left <= 0 {
-			return float64(i) / rateSteps
+// medianFailureRate returns the lower median of the agents' failure rates.
+func (t *Tracker) medianFailureRate() float64 {
+	remaining := (t.known + 1) / 2
+	for i, n := range t.rateHistogram {
+		remaining -= n
+		if remaining <= 0 {
+			return float64(i) / rateBuckets
 		}
 	}
 	return 0
 }
 
-func step(rate float64) int { return int(rate*rateSteps + 0.5) }
+// rateBucket returns the index of a failure rate in the histogram.
+func rateBucket(rate float64) int { return int(rate*rateBuckets + 0.5) }
