--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "placement")
 }
 
-// target returns a sound local candidate with room for everything.
+// target returns a healthy local candidate with ample resources.
 func target(speed float64, credits int) Candidate {
 	return Candidate{
 		Speed: speed, Credits: credits, Local: true, MaxInFlight: 1 << 20,
@@ -25,15 +25,15 @@
 }
 
 var _ = Describe("placement", func() {
-	It("takes the fastest target with a credit and names the runner-up", func() {
+	It("chooses the fastest target with a credit and returns the runner-up", func() {
 		cs := []Candidate{target(1, 3), target(3, 1), target(2, 5)}
 		Expect(Choose(Task{EstimateMs: 300}, cs, Options{})).To(Equal(Choice{1, Best, 2, 100}))
 	})
 
-	// A task of five seconds comes up when only the slowest target is free. Started
-	// there it ends after five seconds; the fast target frees in 200 ms and would
-	// end it in under two. The whole job's answer waits for it.
-	It("holds a long task back from a slow target", func() {
+	// Guards against starting a task of five seconds on the slowest target, where it delays
+	// the answer of its job, while a fast target frees a slot in 200 ms and would end the
+	// task in under two seconds.
+	It("holds a long task instead of starting it on a slow target", func() {
 		fast := target(3, 0)
 		fast.WaitMs = 200
 		cs := []Candidate{target(1, 8), fast}
@@ -45,9 +45,9 @@
 		Expect(Choose(Task{EstimateMs: 5000}, cs, Options{NoHold: true}).Index).To(Equal(0))
 	})
 
-	// A job's longest task runs for another 900 ms. A short task of the same job on
-	// the fastest target ends the job no earlier, but the next caller's check then
-	// finds only slow targets free.
+	// While the longest task of a job runs for another 900 ms, a shorter task on the
+	// fastest target does not end the job earlier, but leaves only slow targets to the
+	// next caller.
 	It("leaves fast targets free for a task off the critical path", func() {
 		cs := []Candidate{target(3, 1), target(1, 1), target(0.5, 1)}
 		t := Task{EstimateMs: 600, SlackMs: 900}
@@ -56,17 +56,17 @@
 		Expect(Choose(t, cs, Options{}).Index).To(Equal(0))
 	})
 
-	// Declared run times are off by a factor of e. A task taken to be short turns
-	// out long, and on a slow target its job waits for it.
-	It("is cautious where run times are known badly", func() {
+	// Declared run times are off by a factor of e. A task that is longer than estimated
+	// would delay its job if it ran on a slow target.
+	It("is cautious where run times are uncertain", func() {
 		cs := []Candidate{target(3, 1), target(1, 1)}
 		t := Task{EstimateMs: 600, SlackMs: 900, ErrorFactor: 2.7}
 		Expect(Choose(t, cs, Options{}).Index).To(Equal(0))
 	})
 
-	// A fast target hangs. Tasks held back for it would wait until they fail,
-	// while slower targets stand idle.
-	It("does not hold for a target whose credits stopped coming", func() {
+	// Guards against holding tasks for a fast target that hangs: they would wait until they
+	// fail, while slower targets are idle.
+	It("does not hold tasks for a target that has stopped granting credits", func() {
 		var gap CreditInterval
 		start := time.Unix(0, 0)
 		for n := range 10 {
@@ -80,14 +80,14 @@
 		Expect(Choose(Task{EstimateMs: 5000}, cs, Options{}).Index).To(Equal(0))
 	})
 
-	It("says why nothing fits", func() {
+	It("returns the reason when no target is feasible", func() {
 		Expect(Choose(Task{}, nil, Options{}).Reason).To(Equal(NoTarget))
 		Expect(Choose(Task{}, []Candidate{target(1, 0)}, Options{}).Reason).To(Equal(NoCredit))
 		t := Task{Demand: job.Demand{Accelerators: 5}}
 		Expect(Choose(t, []Candidate{target(1, 1)}, Options{}).Reason).To(Equal(NoRoom))
 	})
 
-	It("goes by the classes that a target serves", func() {
+	It("respects the classes that a target serves", func() {
 		other := target(3, 8)
 		other.Classes = []string{"billing"}
 		cs := []Candidate{other, target(1, 1)}
@@ -95,8 +95,8 @@
 		Expect(Choose(Task{Class: "billing", EstimateMs: 300}, cs, Options{}).Index).To(Equal(0))
 	})
 
-	// A job asks for its tasks in different racks, because a rack goes every week.
-	It("spreads over racks while there is a choice", func() {
+	// A job asks for its tasks in different racks because a rack fails every week.
+	It("spreads tasks over racks while there is a choice", func() {
 		a, b := target(2, 4), target(1, 4)
 		a.Rack, b.Rack = "r1", "r2"
 		cs := []Candidate{a, b}
@@ -105,16 +105,16 @@
 		Expect(Choose(t, cs[:1], Options{}).Index).To(Equal(0))
 	})
 
-	// A target on probation may hold one task at a time; a second one would fail
-	// with the first if it is still broken.
-	It("keeps to the allowance that a target's health gives it", func() {
-		doubtful := target(3, 8)
-		doubtful.MaxInFlight, doubtful.InFlight = 1, 1
-		cs := []Candidate{doubtful, target(1, 1)}
+	// A target on probation may have one task in flight; a second one would fail with the
+	// first if the target is still broken.
+	It("respects the in-flight limit given by a target's health", func() {
+		onProbation := target(3, 8)
+		onProbation.MaxInFlight, onProbation.InFlight = 1, 1
+		cs := []Candidate{onProbation, target(1, 1)}
 		Expect(Choose(Task{EstimateMs: 300}, cs, Options{}).Index).To(Equal(1))
 	})
 
-	It("keeps the baselines", func() {
+	It("implements the baseline policies", func() {
 		r := rand.New(rand.NewPCG(1, 1))
 		cs := []Candidate{target(1, 0), target(1, 2), target(3, 2)}
 		cs[1].InFlight = 9
--- a/internal/scheduler/placement/wait.go
+++ b/internal/scheduler/placement/wait.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// waitMemory is over how many credits the mean gap forgets. A target of 8 slots
-// turns over its slots once in that many.
-const waitMemory = 8
+// intervalWindow is the number of grants over which the interval is averaged (exponential
+// moving average). A target with 8 slots reuses each slot once in that many.
+const intervalWindow = 8
 
-// CreditInterval learns how often credits come from one target while it is busy. The
-// zero value knows nothing.
+// CreditInterval estimates the interval between the credits that a busy target grants, in
+// order to predict the wait for the next one. The zero value has no estimate.
 type CreditInterval struct {
-	last   time.Time
-	meanMs float64
+	lastGrant time.Time
+	meanMs    float64
 }
 
-// ObserveGrant notes that n credits came.
+// ObserveGrant records that the target granted n credits.
 func (g *CreditInterval) ObserveGrant(n int, now time.Time) {
 	if n <= 0 {
 		return
 	}
-	if !g.last.IsZero() {
-		gap := float64(now.Sub(g.last)) / float64(time.Millisecond) / float64(n)
+	if !g.lastGrant.IsZero() {
+		intervalMs := float64(now.Sub(g.lastGrant)) / float64(time.Millisecond) / float64(n)
 		if g.meanMs == 0 {
-			g.meanMs = gap
+			g.meanMs = intervalMs
 		}
-		g.meanMs += (gap - g.meanMs) / waitMemory
+		g.meanMs += (intervalMs - g.meanMs) / intervalWindow
 	}
-	g.last = now
+	g.lastGrant = now
 }
 
-// WaitMs returns the expected time until the next credit; 0 means unknown. A
-// target that is silent for longer than usual counts as slower and slower, so
-// that nothing is held back for one that has stopped.
+// WaitMs returns the expected time until the next credit; 0 means unknown. Once the time
+// since the last grant exceeds the mean interval it is returned instead, so that no task
+// is held for a target that has stopped granting credits.
 func (g *CreditInterval) WaitMs(now time.Time) float64 {
 	if g.meanMs == 0 {
 		return 0
 	}
-	since := float64(now.Sub(g.last)) / float64(time.Millisecond)
-	return max(g.meanMs, since)
+	sinceMs := float64(now.Sub(g.lastGrant)) / float64(time.Millisecond)
+	return max(g.meanMs, sinceMs)
 }
