--- a/internal/scheduler/queueing/queue.go
+++ b/internal/scheduler/queueing/queue.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// Item is a place in a Queue. Its holder keeps it to move or remove the value.
+// Item is an element of a Queue. The caller of Push keeps it to move or remove the value.
 type Item[T any] struct {
 	Value T
 	rank  int64
@@ -10,14 +10,15 @@
 	index int
 }
 
-// Rank returns the rank the item is queued under.
+// Rank returns the rank under which the item was last queued.
 func (it *Item[T]) Rank() int64 { return it.rank }
 
 // Queued reports whether the item is still in its queue.
 func (it *Item[T]) Queued() bool { return it.index >= 0 }
 
-// Queue is a heap of values by rank; equal ranks leave in the order they came.
-// The zero value is ready for use. It is not safe for concurrent use.
+// Queue is a priority queue of values by rank, the lowest first; values of equal rank leave
+// in the order of their arrival. The zero value is an empty queue. It is not safe for
+// concurrent use.
 type Queue[T any] struct {
 	items items[T]
 	seq   uint64
@@ -26,7 +27,7 @@
 // Len returns the number of queued values.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// Push queues v under rank.
+// Push adds v under the rank.
 func (q *Queue[T]) Push(v T, rank int64) *Item[T] {
 	q.seq++
 	it := &Item[T]{Value: v, rank: rank, seq: q.seq}
@@ -34,7 +35,7 @@
 	return it
 }
 
-// Fix moves a queued item to a new rank. An item no longer queued is left alone.
+// Fix moves a queued item to a new rank. It does nothing to an item that is not queued.
 func (q *Queue[T]) Fix(it *Item[T], rank int64) {
 	if !it.Queued() || it.rank == rank {
 		return
@@ -43,14 +44,14 @@
 	heap.Fix(&q.items, it.index)
 }
 
-// Remove takes the item out. An item no longer queued is left alone.
+// Remove removes the item. It does nothing to an item that is not queued.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	if it.Queued() {
 		heap.Remove(&q.items, it.index)
 	}
 }
 
-// Min returns the item that goes first, or nil.
+// Min returns the item with the lowest rank without removing it, or nil.
 func (q *Queue[T]) Min() *Item[T] {
 	if len(q.items) == 0 {
 		return nil
@@ -58,7 +59,7 @@
 	return q.items[0]
 }
 
-// Each calls visit for every item, in no order, until it returns false.
+// Each calls visit for every item, in no particular order, until visit returns false.
 func (q *Queue[T]) Each(visit func(*Item[T]) bool) {
 	for _, it := range q.items {
 		if !visit(it) {
