--- a/internal/scheduler/quota/quota.go
+++ b/internal/scheduler/quota/quota.go
@@ -1,46 +1,45 @@
-// Package quota limits how many tasks of a team run at a time, without a store
-// that the entries share.
+// Package quota limits how many tasks of a team run at a time, without a store shared by the
+// entries.
 //
-// The pattern of load: 140 teams share the targets through many entries, and one
-// of them sends 90 % of the work. Without a limit the others wait behind it;
-// with a counter in a shared store each start would cost a round trip to it, and
-// its outage would stop all work.
+// 140 teams share the targets through many entries, and one team may send 90 % of the work.
+// Without a limit the others wait behind it. A counter in a shared store would cost a round
+// trip for each start, and its outage would stop all work.
 //
-// Why this works: each entry enforces its part of a team's quota, the quota
-// divided by the number of entries, which it learns from the targets' credits. A
-// balancer spreads a team's jobs over the entries, so the parts fill alike. The
-// part is rounded down, so that the parts together stay within the quota, but is
-// at least one: a quota smaller than the number of entries is exceeded at worst
-// by one task an entry, and a team is never shut out.
+// Instead, each entry enforces its part of a team's quota: the quota divided by the number
+// of entries, which the entry learns from the targets' credits. A load balancer spreads the
+// jobs of a team over the entries, so the parts are used evenly. The part is rounded down,
+// so that the parts together stay within the quota, but it is at least one: a quota smaller
+// than the number of entries is exceeded by at most one task for each entry, and a team with
+// a quota above zero may always run a task.
 //
-// A team without a quota may use every slot, until the owner says that the queue
-// is long (SetContended) and other teams wait: then it is held to FairShareFactor times
-// its equal share. In a short queue the order by work already lets small teams
-// through, and a share would only leave slots idle that a large job could use.
+// A team without a quota may use every slot until the owner reports a long queue
+// (SetContended) and other teams wait; then it is limited to FairShareFactor times its equal
+// share. In a short queue the order by work already serves small teams early, and a share
+// would only leave slots idle that a large job could use.
 package quota
 
 import "math"
 
-// FairShareFactor is how far above its equal share a team without a quota may go while
-// others wait. At 1 a team with long tasks idles slots each time a small team
-// passes by; at 2 half of the slots change hands soon enough.
+// FairShareFactor is the multiple of its equal share that a team without a quota may use
+// while others wait. At 1 a team with long tasks leaves slots idle each time a small team
+// has some work; at 2 half of the slots become free for other teams soon enough.
 const FairShareFactor = 2
 
+// team counts the tasks of one team at this entry.
 type team struct {
 	running int
 	waiting int
 }
 
-// Limiter enforces one entry's part of the quotas. It is not safe for concurrent
-// use.
+// Limiter enforces one entry's part of the quotas. It is not safe for concurrent use.
 type Limiter struct {
-	limits  map[string]int // fleet-wide; absent: usual
-	usual   int            // quota of the other teams; 0: none
-	owners  int
-	slots   int
-	crowded bool // the queue is long
-	teams   map[string]*team
-	waiting int // teams with waiting tasks
+	limits       map[string]int // fleet-wide quota by team; absent: defaultLimit
+	defaultLimit int            // fleet-wide quota of the other teams; 0: none
+	owners       int
+	slots        int
+	contended    bool // the queue is long
+	teams        map[string]*team
+	waitingTeams int // teams with waiting tasks
 }
 
 // New returns a limiter without quotas.
@@ -48,7 +47,7 @@
 	return &Limiter{limits: map[string]int{}, owners: 1, teams: map[string]*team{}}
 }
 
-// SetLimits replaces the fleet-wide quotas; the map is not kept.
+// SetLimits replaces the fleet-wide quotas, in tasks by team; the map is copied.
 func (l *Limiter) SetLimits(limits map[string]int) {
 	l.limits = make(map[string]int, len(limits))
 	for name, n := range limits {
@@ -56,43 +55,43 @@
 	}
 }
 
-// SetDefault sets the fleet-wide quota of teams without one of their own; 0 means
-// no quota.
-func (l *Limiter) SetDefault(n int) { l.usual = n }
+// SetDefault sets the fleet-wide quota of teams that are not in the map of SetLimits; 0
+// means no quota.
+func (l *Limiter) SetDefault(n int) { l.defaultLimit = n }
 
-// SetOwners sets how many entries share the quotas.
+// SetOwners sets the number of owners (entries) that share the quotas.
 func (l *Limiter) SetOwners(n int) { l.owners = max(n, 1) }
 
-// SetSlots sets how many tasks this entry can run at a time.
+// SetSlots sets the number of tasks that this entry can run at a time.
 func (l *Limiter) SetSlots(n int) { l.slots = max(n, 0) }
 
-// SetContended says whether the queue is long, so that shares matter.
-func (l *Limiter) SetContended(yes bool) { l.crowded = yes }
+// SetContended sets whether the queue is so long that fair shares are enforced.
+func (l *Limiter) SetContended(yes bool) { l.contended = yes }
 
-// SetWaiting sets how many tasks of the team wait.
+// SetWaiting sets the number of waiting tasks of the team.
 func (l *Limiter) SetWaiting(name string, n int) {
-	t := l.team(name)
+	t := l.ensureTeam(name)
 	if t.waiting == 0 && n > 0 {
-		l.waiting++
+		l.waitingTeams++
 	}
 	if t.waiting > 0 && n <= 0 {
-		l.waiting--
+		l.waitingTeams--
 	}
 	t.waiting = max(n, 0)
-	l.forget(name, t)
+	l.dropIfIdle(name, t)
 }
 
 // Started counts a task of the team as running.
-func (l *Limiter) Started(name string) { l.team(name).running++ }
+func (l *Limiter) Started(name string) { l.ensureTeam(name).running++ }
 
 // Finished counts a running task of the team as ended.
 func (l *Limiter) Finished(name string) {
-	t := l.team(name)
+	t := l.ensureTeam(name)
 	t.running = max(t.running-1, 0)
-	l.forget(name, t)
+	l.dropIfIdle(name, t)
 }
 
-// Running returns how many tasks of the team run.
+// Running returns the number of running tasks of the team.
 func (l *Limiter) Running(name string) int {
 	if t := l.teams[name]; t != nil {
 		return t.running
@@ -100,12 +99,12 @@
 	return 0
 }
 
-// Limit returns how many tasks of the team may run here now, and whether that is
+// Limit returns how many tasks of the team this entry may run now, and whether the limit is
 // a quota rather than a fair share.
 func (l *Limiter) Limit(name string) (limit int, isQuota bool) {
 	quota, ok := l.limits[name]
-	if !ok && l.usual > 0 {
-		quota, ok = l.usual, true
+	if !ok && l.defaultLimit > 0 {
+		quota, ok = l.defaultLimit, true
 	}
 	if ok {
 		if quota <= 0 {
@@ -113,7 +112,7 @@
 		}
 		return max(quota/l.owners, 1), true
 	}
-	if !l.crowded || l.othersWaiting(name) == 0 {
+	if !l.contended || l.othersWaiting(name) == 0 {
 		return math.MaxInt, false
 	}
 	return max(FairShareFactor*l.slots/len(l.teams), 1), false
@@ -125,14 +124,16 @@
 	return l.Running(name) < limit
 }
 
+// othersWaiting returns the number of other teams with waiting tasks.
 func (l *Limiter) othersWaiting(name string) int {
 	if t := l.teams[name]; t != nil && t.waiting > 0 {
-		return l.waiting - 1
+		return l.waitingTeams - 1
 	}
-	return l.waiting
+	return l.waitingTeams
 }
 
-func (l *Limiter) team(name string) *team {
+// ensureTeam returns the counts of the team, which it creates if necessary.
+func (l *Limiter) ensureTeam(name string) *team {
 	t := l.teams[name]
 	if t == nil {
 		t = &team{}
@@ -141,8 +142,8 @@
 	return t
 }
 
-// forget drops a team with nothing running or waiting, which bounds the memory.
-func (l *Limiter) forget(name string, t *team) {
+// dropIfIdle removes a team without running or waiting tasks, which bounds the memory.
+func (l *Limiter) dropIfIdle(name string, t *team) {
 	if t.running == 0 && t.waiting == 0 {
 		delete(l.teams, name)
 	}
--- a/internal/scheduler/quota/quota_test.go
+++ b/internal/scheduler/quota/quota_test.go
@@ -27,8 +27,8 @@
 		return n
 	}
 
-	// Four entries share a quota and none asks another. Each must keep to its part,
-	// or the team runs four times what was agreed.
+	// Four entries share a quota without communication. If each allowed the whole quota, the
+	// team would run four times as many tasks as agreed.
 	It("enforces its part of a quota", func() {
 		l.SetLimits(map[string]int{"big": 42, "tiny": 2, "none": 0})
 		l.SetOwners(4)
@@ -41,9 +41,9 @@
 		Expect(l.MayStart("big")).To(BeTrue())
 	})
 
-	// One team sends 90 % of the work and fills every slot, so that the others
-	// wait behind its long tasks; alone in the system it may use them all.
-	It("holds a team without a quota to its share while others wait", func() {
+	// One team that sends 90 % of the work fills every slot, and the others wait behind its
+	// long tasks. While no other team waits it may use all slots.
+	It("limits a team without a quota to its share while others wait", func() {
 		l.SetContended(true)
 		l.SetWaiting("flood", 1000)
 		Expect(startAll("flood")).To(Equal(1000))
@@ -60,10 +60,10 @@
 		Expect(l.MayStart("flood")).To(BeTrue())
 		Expect(l.MayStart("small1")).To(BeTrue())
 		l.SetContended(false)
-		Expect(startAll("flood")).To(Equal(1000)) // every one it tries
+		Expect(startAll("flood")).To(Equal(1000)) // as many as startAll tries
 	})
 
-	It("forgets teams that are gone", func() {
+	It("removes teams without tasks", func() {
 		for n := range 1000 {
 			name := fmt.Sprint(n)
 			l.SetWaiting(name, 1)
@@ -72,6 +72,6 @@
 			l.Finished(name)
 		}
 		Expect(l.teams).To(BeEmpty())
-		Expect(l.waiting).To(BeZero())
+		Expect(l.waitingTeams).To(BeZero())
 	})
 })
