--- a/internal/scheduler/reporting/reporting.go
+++ b/internal/scheduler/reporting/reporting.go
@@ -1,44 +1,45 @@
-// Package reporting decides how often an entry wants to hear of the load of each target.
+// Package reporting decides how often runners report the load of their targets to an entry.
 //
-// The load it answers: an entry on a small host, with some tens of runners that each report
-// with every start and every end on their target. What an entry hears grows with the work
-// of the whole fleet and not with its own.
+// Each of some tens of runners reports every start and every end on its target, so the
+// number of reports that an entry receives grows with the work of the whole fleet, not with
+// its own. On a small host, reading all of them takes a third of the processor. Callers of
+// that entry notice orders that are sent late, while large hosts beside it are idle.
 //
-// What goes wrong without it: hearing reports takes a third of a small host's processor.
-// Its callers notice it as orders that leave late, while large hosts beside it are idle.
-//
-// Why this works: the entry spends a fixed part of its processor on reports and asks for as
-// many as that pays for. Choices on a small host are made on older loads, but they are made
-// at once; it counts its own orders in, and each outcome brings a load with it.
+// Instead, the entry spends a fixed share of its processor on reports and asks for as many as
+// that share covers. Choices on a small host are based on older loads, but they are not
+// delayed; the entry adds its own orders to the reported load, and each outcome carries a
+// load as well.
 package reporting
 
 import "time"
 
 const (
-	// share is the part of the host's processor that reports may take.
-	share = 0.1
-	// frameCost is the processor time of reading one report, wake-up and decoding
-	// included.
-	frameCost = 15 * time.Microsecond
-	// longest is how old a load may become before choices by it are worse than none: the
-	// length of the shortest tasks.
-	longest = 60 * time.Millisecond
-	// noticed is by how much the period must differ for runners to be told.
-	noticed = 1.5
+	// maxProcessorShare is the share of the host's processor that reading reports may use.
+	maxProcessorShare = 0.1
+	// reportCost is the processor time for reading one report, including wake-up and
+	// decoding.
+	reportCost = 15 * time.Microsecond
+	// maxInterval is the age at which a load becomes worse than none for choosing a target:
+	// the length of the shortest tasks.
+	maxInterval = 60 * time.Millisecond
+	// significantFactor is the factor between two intervals above which the new one is sent
+	// to the runners.
+	significantFactor = 1.5
 )
 
-// Interval returns the shortest time between two reports of one runner, for a host with that
-// part of a core and so many runners.
+// Interval returns the minimum time between two reports of one runner, for an entry with
+// processorShare of a core and the given number of connected runners; 0: every change is
+// reported.
 func Interval(processorShare float64, runners int) time.Duration {
 	if !(processorShare > 0) {
 		return 0
 	}
-	period := time.Duration(float64(runners) * float64(frameCost) / (share * processorShare))
-	return min(period, longest)
+	interval := time.Duration(float64(runners) * float64(reportCost) / (maxProcessorShare * processorShare))
+	return min(interval, maxInterval)
 }
 
-// SignificantChange reports whether a period is another one than what runners were told, so far that it
-// is worth a frame to each.
-func SignificantChange(period, told time.Duration) bool {
-	return float64(period) > noticed*float64(told) || float64(told) > noticed*float64(period)
+// SignificantChange reports whether an interval differs so much from the announced one that
+// it justifies a frame to each runner.
+func SignificantChange(interval, announced time.Duration) bool {
+	return float64(interval) > significantFactor*float64(announced) || float64(announced) > significantFactor*float64(interval)
 }
