--- a/internal/scheduler/shedding/shedding.go
+++ b/internal/scheduler/shedding/shedding.go
@@ -1,42 +1,40 @@
-// Package shedding picks jobs that were let in and can't be done in time any
-// more.
+// Package shedding selects admitted jobs that can no longer be done before their deadline.
 //
-// The pattern of load: half of the targets leave, or declared run times turn out
-// ten times too short, after jobs were let in. The queue is then longer than the
-// deadlines in it allow. Served in order, targets work on answers that come too
-// late, those behind become late in turn, and callers learn of it only at their
-// deadline.
+// After jobs were admitted, half of the targets may leave, or declared run times may turn out
+// ten times too short. The queue is then longer than its deadlines allow. If it is served in
+// order, targets work on answers that come too late, the jobs behind become late in turn, and
+// callers learn of it only at their deadline.
 //
-// Why this works: a job that has not begun and whose turn would come too late is
-// answered now, as not run, so the caller can act and the work ahead shrinks for
-// the rest. A job that has begun is kept while it can still end in time, because
-// dropping it wastes what has run; it is given up only when even a free fast
-// target could not finish it, since every further task of it is waste.
+// Instead, a job that has not started and whose turn would come too late is answered at once,
+// as not run: the caller can react, and the jobs behind it wait for less work. A job that has
+// started is kept while it can still end in time, because dropping it wastes the work done;
+// it is shed only when even a free target of the highest speed could not finish it, since
+// each further task of it would be waste.
 package shedding
 
 import "time"
 
-// WaitTolerance is how much longer than its time left a job's wait must look before it is
-// shed. Waits are estimates, and a shed job can't be taken back, whereas a late
-// one is shed at the next look.
+// WaitTolerance is the multiple of its remaining time that a job's expected wait must exceed
+// before the job is shed. Waits are estimates, and shedding cannot be undone, whereas a job
+// that turns out to be late is shed by the next call of Pick.
 const WaitTolerance = 1.5
 
-// Job is a waiting job. Work is in milliseconds at speed 1.
+// Job is a waiting job.
 type Job struct {
-	RemainingMs float64
-	LongestMs   float64
-	Started     bool          // a task of it was sent
-	DeadlineIn  time.Duration // time left, negative when past
+	RemainingMs float64       // estimated run time of the unfinished tasks, at speed 1
+	LongestMs   float64       // estimated run time of the longest unfinished task, at speed 1
+	Started     bool          // a task of it has been sent to a target
+	DeadlineIn  time.Duration // time until the deadline; negative when it has passed
 }
 
-// Reason says why a job is shed.
+// Reason is the reason for shedding a job.
 type Reason uint8
 
-// Reasons.
+// Reasons for shedding a job; Keep: it is not shed.
 const (
 	Keep        Reason = iota
-	Infeasible         // no free target could finish it in time
-	WaitTooLong        // too much work goes before it
+	Infeasible         // not even a free target of the highest speed could finish it in time
+	WaitTooLong        // too much work is ahead of it
 )
 
 var reasonNames = [...]string{"keep", "hopeless", "behind"}
@@ -44,24 +42,24 @@
 // String returns the reason's name in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision names a job to be shed by its index.
+// Decision is a job to shed, by its index among the jobs, with the reason.
 type Decision struct {
 	Index  int
 	Reason Reason
 }
 
-// Fleet is what can serve the jobs.
+// Fleet is the capacity that serves the jobs.
 type Fleet struct {
-	CapacityMsPerMs float64 // work done in a millisecond (slots x speed)
-	FastestSpeed    float64
+	CapacityMsPerMs float64 // work at speed 1 done in a millisecond (slots x speed)
+	FastestSpeed    float64 // highest speed among the targets; 0: there is none
 }
 
-// Pick appends to dst the jobs to shed. The jobs must be in the order in which
-// they will be served. Work of shed jobs does not count for those behind them.
+// Pick appends the jobs to shed to dst and returns it. The jobs must be in the order in which
+// they will be served. The work of shed jobs does not count for the jobs behind them.
 func Pick(f Fleet, jobs []Job, dst []Decision) []Decision {
 	aheadMs := 0.0
 	for i, j := range jobs {
-		r := judge(f, j, aheadMs)
+		r := evaluate(f, j, aheadMs)
 		if r != Keep {
 			dst = append(dst, Decision{i, r})
 			continue
@@ -71,8 +69,9 @@
 	return dst
 }
 
-func judge(f Fleet, j Job, aheadMs float64) Reason {
-	leftMs := float64(j.DeadlineIn) / float64(time.Millisecond)
+// evaluate returns why the job with aheadMs of work ahead of it is shed, or Keep.
+func evaluate(f Fleet, j Job, aheadMs float64) Reason {
+	deadlineInMs := float64(j.DeadlineIn) / float64(time.Millisecond)
 	if MissesDeadline(j, f.FastestSpeed) {
 		return Infeasible
 	}
@@ -80,14 +79,14 @@
 		return Keep
 	}
 	waitMs := aheadMs / f.CapacityMsPerMs
-	if waitMs > leftMs*WaitTolerance {
+	if waitMs > deadlineInMs*WaitTolerance {
 		return WaitTooLong
 	}
 	return Keep
 }
 
-// MissesDeadline reports whether the job can't end in time even on free targets of the
-// given speed. Without a target, only a passed deadline is late.
+// MissesDeadline reports whether the job cannot end in time even on free targets of the given
+// speed. Without a target (speed 0) only a job past its deadline misses it.
 func MissesDeadline(j Job, fastestSpeed float64) bool {
 	if j.DeadlineIn <= 0 {
 		return true
@@ -95,9 +94,9 @@
 	if fastestSpeed <= 0 {
 		return false
 	}
-	// Estimates err by a factor of e: a task is given up only where even a run
+	// Estimates are typically off by a factor of e: a job is given up only if even a run
 	// three times shorter than estimated would end too late.
-	const leastOfEstimate = 1.0 / 3
-	leftMs := float64(j.DeadlineIn) / float64(time.Millisecond)
-	return j.LongestMs/fastestSpeed*leastOfEstimate > leftMs
+	const minEstimateShare = 1.0 / 3
+	deadlineInMs := float64(j.DeadlineIn) / float64(time.Millisecond)
+	return j.LongestMs/fastestSpeed*minEstimateShare > deadlineInMs
 }
--- a/internal/scheduler/shedding/shedding_test.go
+++ b/internal/scheduler/shedding/shedding_test.go
@@ -15,16 +15,16 @@
 
 var _ = Describe("shedding", func() {
 	fleet := Fleet{CapacityMsPerMs: 100, FastestSpeed: 3}
-	waiting := func(workMs float64, left time.Duration) Job {
-		return Job{RemainingMs: workMs, LongestMs: min(workMs, 1000), DeadlineIn: left}
+	waiting := func(workMs float64, deadlineIn time.Duration) Job {
+		return Job{RemainingMs: workMs, LongestMs: min(workMs, 1000), DeadlineIn: deadlineIn}
 	}
 
-	// Half of the targets leave with a long queue let in. Without shedding each job
-	// is begun in its turn and comes out too late, one after the other.
-	It("answers at once those whose turn comes too late, and so saves the rest", func() {
+	// Half of the targets leave after a long queue was admitted. Without shedding, each job is
+	// started in its turn and ends too late, one after the other.
+	It("sheds the jobs whose turn comes too late, so that the others end in time", func() {
 		var jobs []Job
 		for range 100 {
-			jobs = append(jobs, waiting(20_000, 3*time.Second)) // 20 s of work for 3 s
+			jobs = append(jobs, waiting(20_000, 3*time.Second)) // 20 s of work, due in 3 s
 		}
 		shed := Pick(fleet, jobs, nil)
 		Expect(len(jobs) - len(shed)).To(BeNumerically("~", 3*WaitTolerance*1000/200, 2))
@@ -33,8 +33,8 @@
 		}
 	})
 
-	// What has run of a job is lost if the job is dropped.
-	It("keeps a job that has begun while it can still end", func() {
+	// Shedding a job wastes the work that was done for it.
+	It("keeps a started job while it can still end in time", func() {
 		jobs := []Job{waiting(1e6, time.Hour), waiting(20_000, time.Second)}
 		jobs[1].Started = true
 		Expect(Pick(fleet, jobs, nil)).To(BeEmpty())
@@ -42,9 +42,9 @@
 		Expect(Pick(fleet, jobs, nil)).To(Equal([]Decision{{1, Infeasible}}))
 	})
 
-	// All targets are gone for some seconds. Nothing is known of when they come
-	// back, so only what is past its deadline is answered.
-	It("waits for targets to come back", func() {
+	// All targets are disconnected for some seconds, and it is not known when they return, so
+	// only jobs past their deadline are shed.
+	It("keeps jobs while no target is connected", func() {
 		jobs := []Job{waiting(1e6, time.Second), waiting(100, time.Second), waiting(100, 0)}
 		Expect(Pick(Fleet{}, jobs, nil)).To(Equal([]Decision{{2, Infeasible}}))
 	})
