--- a/internal/scheduler/subset/subset.go
+++ b/internal/scheduler/subset/subset.go
@@ -1,21 +1,21 @@
-// Package subset decides which entries an agent keeps sessions with.
+// Package subset selects the entries with which an agent keeps sessions.
 //
-// The pattern of load: each idle session costs both ends processor time and a
-// heartbeat. With every agent connected to every entry, an entry's control work
-// grows with the fleet and breaks its budget long before tasks do; and a subset
-// that is drawn badly gives some entries twice the agents of others, which then
-// queue work while targets elsewhere stand idle.
+// Each idle session costs both ends processor time and heartbeats. If every agent were
+// connected to every entry, the control work of an entry would grow with the fleet and
+// exceed its budget long before the tasks do. A badly chosen subset gives some entries twice
+// the agents of others, and the entries with few agents queue work while targets elsewhere
+// are idle.
 //
-// Why this works:
-//   - Each agent ranks entries by a hash of its own name and theirs (rendezvous
-//     hashing). Agents decide alone, without a list that all agree on, and
-//     loads come out even. An entry that leaves moves only its own agents, each
-//     to its next choice; one that joins takes only what ranks it high enough.
-//   - Entries of the agent's data centre come first: their round trip is shorter,
-//     and a region that is cut off goes on with what it reaches.
-//   - One session goes outside, where there is an entry outside. Were all inside,
-//     the loss of the data centre's few entries would strand its workers until
-//     they had found others.
+// The selection works as follows:
+//   - Each agent ranks entries by a hash of its own name and theirs (rendezvous hashing).
+//     Agents decide alone, without an agreed list, and the load is even. An entry that
+//     leaves affects only its own agents, each of which moves to its next choice; an entry
+//     that joins takes over only the agents that rank it high enough.
+//   - Entries of the agent's data centre come first: their round trip is shorter, and a
+//     region that is cut off from the others keeps working with the entries it reaches.
+//   - One session goes to an entry outside, where there is one. If all were inside, the loss
+//     of the few entries of the data centre would disconnect its workers until they had
+//     found others.
 package subset
 
 import (
@@ -25,50 +25,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultSessions is how many entries an agent keeps sessions with: those of a
-// data centre of three, and one outside. Two would do against a single loss, but
-// then an entry sees so few targets that its queue waits while others are idle.
+// DefaultSessions is the number of entries with which an agent keeps sessions: three in its
+// data centre and one outside. Two would survive a single loss, but an entry would then know
+// so few targets that its queue waits while other targets are idle.
 const DefaultSessions = 4
 
-// Candidate is an entry as the agent knows it.
+// Candidate is an entry that the agent knows.
 type Candidate struct {
 	Addr       string
-	DataCentre string // empty until an entry has told it
-	Down       bool   // can't be reached, or is leaving
+	DataCentre string // empty until it is known
+	Down       bool   // cannot be reached, or is shutting down
 }
 
-// Choose returns the addresses of at most n entries that the worker's agent keeps
-// sessions with, best first. Entries that are down are left out. The result
-// depends on nothing but the arguments, and not on the order of entries.
+// Choose returns the addresses of at most n entries with which the worker's agent keeps
+// sessions, best first. Entries that are down are left out. The result depends only on the
+// arguments, and not on the order of the entries.
 func Choose(worker, dataCentre string, entries []Candidate, n int) []string {
-	home, unknown, away := split(worker, dataCentre, entries)
-	// An entry whose data centre is not known comes before one that is known to be
-	// outside: it may be at home, and the session tells.
-	rest := append(unknown, away...)
-	if len(home)+len(rest) <= n {
-		return append(home, rest...)
+	local, unknown, remote := groupByLocality(worker, dataCentre, entries)
+	// An entry whose data centre is unknown comes before one that is known to be remote: it
+	// may be local, and a session reveals its data centre.
+	rest := append(unknown, remote...)
+	if len(local)+len(rest) <= n {
+		return append(local, rest...)
 	}
 	outside := 0
 	if n > 1 && len(rest) > 0 {
 		outside = 1
 	}
-	home = home[:min(len(home), n-outside)]
-	free := n - len(home)
-	if len(away) > 0 && len(unknown) >= free && n > 1 {
-		rest = append(unknown[:free-1:free-1], away[0]) // the unknown may all be at home
+	local = local[:min(len(local), n-outside)]
+	free := n - len(local)
+	if len(remote) > 0 && len(unknown) >= free && n > 1 {
+		rest = append(unknown[:free-1:free-1], remote[0]) // all unknown entries may be local
 	}
-	return append(home, rest[:free]...)
+	return append(local, rest[:free]...)
 }
 
-// ranked is an entry's address with its hash.
+// ranked is the address of an entry with its hash.
 type ranked struct {
 	addr  string
 	score uint64
 }
 
-// split returns the addresses of the entries that are up, each group best first.
-// For a worker of no data centre no entry is at home.
-func split(worker, dataCentre string, entries []Candidate) (home, unknown, away []string) {
+// groupByLocality returns the addresses of the entries that are up, in three groups, each
+// best first. To a worker without a data centre all entries are remote.
+func groupByLocality(worker, dataCentre string, entries []Candidate) (local, unknown, remote []string) {
 	var groups [3][]ranked
 	for _, e := range entries {
 		if e.Down {
@@ -84,10 +84,11 @@
 		}
 		groups[group] = append(groups[group], ranked{e.Addr, score(worker, e.Addr)})
 	}
-	return order(groups[0]), order(groups[1]), order(groups[2])
+	return rankedAddrs(groups[0]), rankedAddrs(groups[1]), rankedAddrs(groups[2])
 }
 
-func order(group []ranked) []string {
+// rankedAddrs returns the addresses by descending hash.
+func rankedAddrs(group []ranked) []string {
 	slices.SortFunc(group, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.addr, b.addr))
 	})
@@ -98,7 +99,7 @@
 	return addrs
 }
 
-// score is the rendezvous hash. The separator keeps "a"+"bc" and "ab"+"c" apart.
+// score is the rendezvous hash. The separator distinguishes "a"+"bc" from "ab"+"c".
 func score(worker, addr string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
