--- a/internal/scheduler/uplink/uplink.go
+++ b/internal/scheduler/uplink/uplink.go
@@ -1,31 +1,29 @@
-// Package uplink reckons with the time that what an entry sends waits for its network link.
+// Package uplink predicts how long the data that an entry sends waits for its network link.
 //
-// The load it answers: wide jobs with a large body on an entry host whose link is narrow. Each
-// target that gets a task of a job gets the body too, so a job of eight tasks on eight targets
-// costs eight bodies.
-//
-// What goes wrong without it: orders of a job leave tens to hundreds of milliseconds after each
-// other, while the targets they go to are idle. Predictions know nothing of that, so jobs are let
-// in for which there is no link, and all of them come late.
+// Each target that gets a task of a job also gets the job's body, so a job of eight tasks on
+// eight targets sends the body eight times. With large bodies and a narrow link, the orders of
+// one job leave tens to hundreds of milliseconds after each other, while their targets are
+// idle. Without this package, predictions ignore that delay: jobs are admitted for which the
+// link has no capacity, and all of them are late.
 package uplink
 
 import "time"
 
-// Link is what is known of a host's link. The zero Link has no limit. It is not safe for
-// concurrent use.
+// Link models the send queue of a host's network link. The zero Link has no bandwidth limit.
+// It is not safe for concurrent use.
 type Link struct {
-	bytesPerMs float64 // 0: no limit
-	backlog    float64 // bytes handed over and not sent yet
-	at         time.Time
+	bytesPerMs float64 // 0: unlimited
+	backlog    float64 // bytes enqueued and not yet sent, at updatedAt
+	updatedAt  time.Time
 }
 
-// bytesPerMsOfMbps turns megabits a second into bytes a millisecond.
-const bytesPerMsOfMbps = 1e6 / 8 / 1000
+// bytesPerMsPerMbps converts megabits per second to bytes per millisecond.
+const bytesPerMsPerMbps = 1e6 / 8 / 1000
 
-// New returns a link of that many megabits a second; 0: no limit.
-func New(mbps float64) *Link { return &Link{bytesPerMs: max(mbps, 0) * bytesPerMsOfMbps} }
+// New returns a link with a bandwidth in megabits per second; 0 and less: unlimited.
+func New(mbps float64) *Link { return &Link{bytesPerMs: max(mbps, 0) * bytesPerMsPerMbps} }
 
-// Enqueue takes what is handed over to the link now.
+// Enqueue records that bytes are handed to the link now.
 func (l *Link) Enqueue(now time.Time, bytes int) {
 	l.drain(now)
 	if l.bytesPerMs > 0 {
@@ -33,13 +31,14 @@
 	}
 }
 
-// WaitMs returns how long what is handed over now waits before it is sent.
+// WaitMs returns how long data that is enqueued now waits, in milliseconds, before the link
+// starts to send it.
 func (l *Link) WaitMs(now time.Time) float64 {
 	l.drain(now)
 	return l.TransmitMs(int(l.backlog))
 }
 
-// TransmitMs returns how long the link takes to send so much.
+// TransmitMs returns how long the link takes to send so many bytes, in milliseconds.
 func (l *Link) TransmitMs(bytes int) float64 {
 	if l.bytesPerMs <= 0 {
 		return 0
@@ -47,10 +46,11 @@
 	return float64(bytes) / l.bytesPerMs
 }
 
+// drain removes from the backlog what the link has sent since the last update.
 func (l *Link) drain(now time.Time) {
-	if !l.at.IsZero() && now.After(l.at) {
-		sent := l.bytesPerMs * float64(now.Sub(l.at)) / float64(time.Millisecond)
+	if !l.updatedAt.IsZero() && now.After(l.updatedAt) {
+		sent := l.bytesPerMs * float64(now.Sub(l.updatedAt)) / float64(time.Millisecond)
 		l.backlog = max(0, l.backlog-sent)
 	}
-	l.at = now
+	l.updatedAt = now
 }
--- a/internal/scheduler/uplink/uplink_test.go
+++ b/internal/scheduler/uplink/uplink_test.go
@@ -9,10 +9,10 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-// Guards against predictions that know nothing of frames which wait for a narrow link.
-func TestWhatWaitsForTheLinkDelaysWhatFollows(t *testing.T) {
+// Guards against predictions that ignore the frames queued on a narrow link.
+func TestBacklogDelaysLaterFrames(t *testing.T) {
 	g := NewWithT(t)
-	l := New(2) // 250 bytes a millisecond
+	l := New(2) // 250 bytes per millisecond
 	g.Expect(l.WaitMs(now)).To(BeZero())
 	l.Enqueue(now, 25_000)
 	g.Expect(l.WaitMs(now)).To(BeNumerically("~", 100, 0.1))
@@ -21,8 +21,8 @@
 	g.Expect(l.TransmitMs(500)).To(BeNumerically("~", 2, 0.01))
 }
 
-// Guards against waits that are reckoned with where the width of the link is not known.
-func TestLinkWithoutALimit(t *testing.T) {
+// Guards against predicted delays where the bandwidth of the link is unknown.
+func TestUnlimitedLinkHasNoDelay(t *testing.T) {
 	g := NewWithT(t)
 	for _, l := range []*Link{{}, New(0), New(-1)} {
 		l.Enqueue(now, 1<<30)
