--- a/internal/scheduler/waiting/waiting.go
+++ b/internal/scheduler/waiting/waiting.go
@@ -1,13 +1,12 @@
-// Package waiting predicts how long a new task would wait for room on a target
-// whose room is an amount of processors.
+// Package waiting predicts how long a new task would wait for free capacity on a target whose
+// capacity is an amount of CPU.
 //
-// The load it answers: tasks of 50 ms and of seconds share targets that are nearly
-// full. The sum of queued work over the capacity is a poor prediction there: one
-// long task at the head delays a target with a short queue, and a target with a
-// long queue of short tasks frees room every few milliseconds. Callers notice a
-// poor prediction as jobs that are let in and then late, or turned away while
-// there was room. So the queue is played forward: expected ends give room back, and
-// the queue takes it in its order.
+// Tasks of 50 ms and of several seconds share targets that are nearly full. The sum of queued
+// work divided by the capacity is a poor prediction there: one long task at the head delays a
+// target with a short queue, and a target with a long queue of short tasks frees capacity every
+// few milliseconds. A poor prediction shows as jobs that are admitted and then late, or rejected
+// although there was capacity. The queue is therefore simulated: running tasks release their
+// capacity at their expected ends, and queued tasks take it in the order of the queue.
 package waiting
 
 import (
@@ -17,50 +16,52 @@
 // RunningTask is a running task.
 type RunningTask struct {
 	CPUMilli    int
-	RemainingMs float64 // expected time to its end; below zero where it is overdue
+	RemainingMs float64 // expected time until it ends; negative if it is overdue
 }
 
-// QueuedTask is a waiting task; they are given in the order in which they will start.
+// QueuedTask is a waiting task. A queue is in the order in which its tasks will start.
 type QueuedTask struct {
 	CPUMilli int
-	RunMs    float64 // expected time at the target
-	SlackMs  float64 // a task with less slack goes before it
+	RunMs    float64 // expected run time on the target
+	SlackMs  float64 // a task with less slack starts before it
 }
 
-// overdueMs is the remaining time that a task past its expected end is given: what
-// is overdue ends soon as a rule, and a target on which it does not is found by
-// other means.
-const overdueMs = 15
+// overdueRemainingMs is the minimum remaining time that is assumed for a running task. An
+// overdue task usually ends soon; a target on which it does not is detected by other means.
+const overdueRemainingMs = 15
 
-// Simulator plays queues forward. It keeps its memory between calls; it is not safe
-// for concurrent use.
+// Simulator simulates the queue of a target. It reuses its buffer between calls; it is not
+// safe for concurrent use.
 type Simulator struct {
-	ends []RunningTask // by LeftMs
+	ends []RunningTask // in rising order of RemainingMs
 }
 
-// Predict returns, for each horizon (in rising order, in milliseconds of slack), how
-// long a new task of that slack and of probe processors would wait.
-func (p *Simulator) Predict(freeMilli int, running []RunningTask, queue []QueuedTask, probeMilli int, horizons []float64, waits []float64) {
-	p.ends = p.ends[:0]
-	for _, o := range running {
-		if o.RemainingMs < overdueMs {
-			o.RemainingMs = overdueMs
+// Predict writes to waits, for each horizon, how many milliseconds a new task that needs
+// probeMilli thousandths of a core would wait. A horizon is the slack of the new task in
+// milliseconds, and the horizons rise; queued tasks with no more slack start before it.
+// freeMilli is the capacity that is free now.
+func (s *Simulator) Predict(freeMilli int, running []RunningTask, queue []QueuedTask, probeMilli int, horizons []float64, waits []float64) {
+	s.ends = s.ends[:0]
+	for _, task := range running {
+		if task.RemainingMs < overdueRemainingMs {
+			task.RemainingMs = overdueRemainingMs
 		}
-		p.ends = append(p.ends, o)
+		s.ends = append(s.ends, task)
 	}
-	slices.SortFunc(p.ends, byLeft)
-	next := 0
+	slices.SortFunc(s.ends, compareRemaining)
+	nextQueued := 0
 	free, now := freeMilli, 0.0
 	for i, horizon := range horizons {
-		for next < len(queue) && queue[next].SlackMs <= horizon {
-			free, now = p.start(free, now, queue[next].CPUMilli, queue[next].RunMs)
-			next++
+		for nextQueued < len(queue) && queue[nextQueued].SlackMs <= horizon {
+			free, now = s.startTask(free, now, queue[nextQueued].CPUMilli, queue[nextQueued].RunMs)
+			nextQueued++
 		}
-		waits[i] = p.wait(free, now, probeMilli)
+		waits[i] = s.timeUntilFree(free, now, probeMilli)
 	}
 }
 
-func byLeft(a, b RunningTask) int {
+// compareRemaining orders running tasks by their expected ends.
+func compareRemaining(a, b RunningTask) int {
 	switch {
 	case a.RemainingMs < b.RemainingMs:
 		return -1
@@ -70,24 +71,26 @@
 	return 0
 }
 
-// start lets the task begin as soon as there is room, and returns what is free then.
-func (p *Simulator) start(free int, now float64, cpu int, runMs float64) (int, float64) {
-	for free < cpu && len(p.ends) > 0 {
-		free += p.ends[0].CPUMilli
-		now = max(now, p.ends[0].RemainingMs)
-		p.ends = p.ends[1:]
+// startTask starts a task as soon as there is capacity for it. It returns the capacity that
+// is free then, and the time.
+func (s *Simulator) startTask(free int, now float64, cpuMilli int, runMs float64) (int, float64) {
+	for free < cpuMilli && len(s.ends) > 0 {
+		free += s.ends[0].CPUMilli
+		now = max(now, s.ends[0].RemainingMs)
+		s.ends = s.ends[1:]
 	}
-	end := RunningTask{CPUMilli: cpu, RemainingMs: now + runMs}
-	at, _ := slices.BinarySearchFunc(p.ends, end, byLeft)
-	p.ends = slices.Insert(p.ends, at, end)
-	return free - cpu, now
+	end := RunningTask{CPUMilli: cpuMilli, RemainingMs: now + runMs}
+	at, _ := slices.BinarySearchFunc(s.ends, end, compareRemaining)
+	s.ends = slices.Insert(s.ends, at, end)
+	return free - cpuMilli, now
 }
 
-// wait returns when there is room for a probe, without letting it begin.
-func (p *Simulator) wait(free int, now float64, cpu int) float64 {
-	for i := 0; free < cpu && i < len(p.ends); i++ {
-		free += p.ends[i].CPUMilli
-		now = max(now, p.ends[i].RemainingMs)
+// timeUntilFree returns the time at which there is capacity for a new task, without starting
+// it.
+func (s *Simulator) timeUntilFree(free int, now float64, cpuMilli int) float64 {
+	for i := 0; free < cpuMilli && i < len(s.ends); i++ {
+		free += s.ends[i].CPUMilli
+		now = max(now, s.ends[i].RemainingMs)
 	}
 	return now
 }
