--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,9 +1,9 @@
-// Package routing holds the operator's configuration of queues: which requests
-// belong to which queue, which service's targets run its tasks, and by when its
-// callers want their answers.
+// Package routing holds the operator's configuration of queues: which requests belong to a
+// queue, which service's targets run its tasks, and within which time its callers want their
+// answers.
 //
-// A Table is immutable. A process replaces it as a whole with one of a higher
-// version, so a request is judged by one version from beginning to end.
+// A Table is immutable. A process replaces it as a whole with a table of a higher version, so
+// that one version applies to a request from beginning to end.
 package routing
 
 import (
@@ -12,38 +12,39 @@
 	"time"
 )
 
-// Queue is one queue of jobs.
+// Queue is the configuration of one queue of jobs.
 type Queue struct {
 	Name        string
-	Host        string // of the request; compared without case and port
+	Host        string // of the request; case and port are ignored
 	PathPrefix  string
-	Service     string // whose targets run the tasks
+	Service     string // name of the service whose targets run the tasks
 	Priority    int    // 0 is the most urgent
-	MaxAttempts int    // ends "failed" of one task that fail its job
-	// Stretch and Latency give the time by which a job should be answered: Stretch
-	// times its longest chain of work, and Latency more.
+	MaxAttempts int    // number of failed runs of one task at which its job fails
+	// Stretch and LatencyAllowance determine the response time objective of a job: Stretch
+	// times its critical path, plus LatencyAllowance.
 	Stretch          float64
 	LatencyAllowance time.Duration
-	Timeout          time.Duration // longest time of a request; 0: none
-	// EnforcesCapacity says that the service's targets turn away what exceeds their capacity.
+	Timeout          time.Duration // maximum duration of a request; 0: unlimited
+	// EnforcesCapacity is set if the service's targets reject tasks beyond their capacity.
 	EnforcesCapacity bool
-	// RequiresAdvice queues may run a step only on targets that a service outside names.
+	// RequiresAdvice is set if the steps of a job may run only on targets that an external
+	// service names.
 	RequiresAdvice bool
 }
 
-// Objective returns the time by which a job with the given chain of work should be
+// Objective returns the time within which a job with the given critical path should be
 // answered.
-func (q *Queue) Objective(chain time.Duration) time.Duration {
-	return time.Duration(q.Stretch*float64(chain)) + q.LatencyAllowance
+func (q *Queue) Objective(criticalPath time.Duration) time.Duration {
+	return time.Duration(q.Stretch*float64(criticalPath)) + q.LatencyAllowance
 }
 
 // Service is a pool of targets.
 type Service struct {
 	Name             string
-	EnforcesCapacity bool // its targets turn away what exceeds their capacity
+	EnforcesCapacity bool // its targets reject tasks beyond their capacity
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -51,17 +52,17 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of the configuration.
+// Table is one version of the configuration of all queues.
 type Table struct {
 	Version  uint64
 	Services []Service
 	Limits   Limits
 
-	byHost map[string][]*Queue // longest prefix first
-	count  int
+	byHost map[string][]*Queue // queues by host, longest path prefix first
+	count  int                 // number of queues
 }
 
-// New returns the table of the queues.
+// New returns a table of the queues, and sets EnforcesCapacity of each from its service.
 func New(version uint64, queues []*Queue, services []Service, limits Limits) *Table {
 	t := &Table{Version: version, Services: services, Limits: limits, byHost: map[string][]*Queue{}, count: len(queues)}
 	for _, q := range queues {
@@ -78,8 +79,8 @@
 // Len returns the number of queues.
 func (t *Table) Len() int { return t.count }
 
-// Match returns the queue of a request, by its host and the longest prefix that its
-// path begins with, or nil.
+// Match returns the queue of a request: the one of its host with the longest prefix of its
+// path; nil if there is none.
 func (t *Table) Match(host, path string) *Queue {
 	for _, q := range t.byHost[CanonicalHost(host)] {
 		if strings.HasPrefix(path, q.PathPrefix) {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// CanonicalHost returns a host name in the form in which it is compared.
+// CanonicalHost returns a host name in lower case and without a port, for comparison.
 func CanonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
