--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,19 +1,19 @@
-// Package evacuation holds which data centres operators have evacuated: until an
-// evacuation is lifted, no task starts on a target there, and what runs there ends in its
-// own time.
+// Package evacuation keeps track of the data centres that operators have evacuated. Until an
+// evacuation is lifted no task starts on a target of the data centre; running tasks end
+// normally.
 //
-// Evacuations are records of the platform's log. A process that the log turns away must
-// know of them too, so processes pass them on over their sessions. Two beliefs merge by
-// data centre: the statement of the highest log offset wins, and a lifted evacuation is a
-// statement as well. A lost statement would either let work into a data centre that is
-// being emptied or leave its targets idle for good.
+// Evacuations are records of the platform's log. A process that cannot read the log must apply
+// them too, so processes forward the records over their sessions. Two replicas are merged by
+// data centre: the record of the highest log offset wins, and the lifting of an evacuation is a
+// record as well. A lost record would either let tasks start in a data centre that is being
+// emptied or leave its targets idle for good.
 //
-// A lifted evacuation may only show as a key that is missing among the newest ones. That is
-// stated as of the last offset below the end of the log that was read with them. Where an
-// evacuation has that same offset, it was lifted between two pages of the list, so a lifted
-// one wins a tie. A process that has read such a list corrects its peers: one that started
-// after an evacuation was lifted has nothing to compare the list with, and a peer may still
-// believe in it.
+// The log may have dropped the record that lifted an evacuation; then the lift only shows as a
+// key that is missing from a snapshot of the newest keys. This implied lift gets the last offset
+// before the end of the log that was read with the snapshot. If the evacuation has that same
+// offset, it was lifted between two pages of the snapshot, so a lift wins a tie. A process that
+// has read such a snapshot also corrects its peers: if it was started after the lift, it has no
+// older record to compare with the snapshot, and a peer may still have the evacuation in force.
 package evacuation
 
 import (
@@ -24,41 +24,45 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Record is what a log record says of one data centre.
+// Record is the content of a log record on one data centre: its evacuation, or the lifting of
+// it.
 type Record = wire.Evacuation
 
-// mostStatements bounds what is remembered; the oldest lifted evacuations go first.
-const mostStatements = 256
+// maxRecords bounds the records kept; those of the oldest lifted evacuations are evicted first.
+const maxRecords = 256
 
-// set holds the newest statement on each data centre.
-type set map[string]Record
+// recordSet holds the newest record of each data centre.
+type recordSet map[string]Record
 
-// take merges a statement, and reports whether it is news.
-func (s set) take(n Record) bool {
-	old, known := s[n.DataCentre]
-	if known && !newer(n, old) {
+// merge adds a record if it supersedes the known one, and reports whether it does.
+func (s recordSet) merge(rec Record) bool {
+	old, known := s[rec.DataCentre]
+	if known && !supersedes(rec, old) {
 		return false
 	}
-	s[n.DataCentre] = n
-	if len(s) > mostStatements {
+	s[rec.DataCentre] = rec
+	if len(s) > maxRecords {
 		s.evict()
 	}
 	return true
 }
 
-func newer(n, old Record) bool {
+// supersedes reports whether n replaces old: by its higher offset, or as a lift of the same
+// offset.
+func supersedes(n, old Record) bool {
 	if n.Offset != old.Offset {
 		return n.Offset > old.Offset
 	}
 	return n.Lifted && !old.Lifted
 }
 
-// evict forgets the oldest lifted evacuation. Those in force are kept, however many.
-func (s set) evict() {
+// evict removes the record of the oldest lifted evacuation. Evacuations in force are kept,
+// however many there are.
+func (s recordSet) evict() {
 	oldest, found := Record{}, false
-	for _, st := range s {
-		if st.Lifted && (!found || st.Offset < oldest.Offset) {
-			oldest, found = st, true
+	for _, rec := range s {
+		if rec.Lifted && (!found || rec.Offset < oldest.Offset) {
+			oldest, found = rec, true
 		}
 	}
 	if found {
@@ -66,13 +70,13 @@
 	}
 }
 
-// missing returns what a list of the newest keys, read below the offset end, says of the
-// data centres that it lacks.
-func (s set) missing(listed []Record, end uint64) []Record {
+// impliedLifts returns a lift, of the offset end-1, for each evacuation below the offset end that
+// is missing from a snapshot of the newest keys read up to there.
+func (s recordSet) impliedLifts(listed []Record, end uint64) []Record {
 	var lifted []Record
-	for name, st := range s {
+	for name, rec := range s {
 		isListed := slices.ContainsFunc(listed, func(l Record) bool { return l.DataCentre == name })
-		if st.Lifted || st.Offset >= end || isListed {
+		if rec.Lifted || rec.Offset >= end || isListed {
 			continue
 		}
 		lifted = append(lifted, Record{DataCentre: name, Offset: end - 1, Lifted: true})
@@ -80,95 +84,100 @@
 	return lifted
 }
 
-func (s set) sorted() []Record {
+// sorted returns the records in the order of their data centres.
+func (s recordSet) sorted() []Record {
 	all := make([]Record, 0, len(s))
-	for _, st := range s {
-		all = append(all, st)
+	for _, rec := range s {
+		all = append(all, rec)
 	}
 	slices.SortFunc(all, func(a, b Record) int { return cmp.Compare(a.DataCentre, b.DataCentre) })
 	return all
 }
 
-// PeerID names a session; it is never reused.
+// PeerID identifies the session with a peer; it is never reused.
 type PeerID uint64
 
-// fromLog is the source of what this process has read from the log itself.
+// fromLog is the PeerID of records that this process has read from the log.
 const fromLog PeerID = 0
 
-// Replica has what this process knows, and passes it on. It is not safe for concurrent use.
+// Replica is this process's copy of the evacuation records, which it forwards to its peers. It
+// is not safe for concurrent use.
 type Replica struct {
-	// Send queues statements for a peer.
+	// Send queues records to be sent to a peer.
 	Send func(PeerID, []Record)
-	// OnChange is told of each statement that is news; peer is 0 where the log said so.
+	// OnChange is called for each record that supersedes the known one; peer is its sender, or
+	// 0 if the record comes from the log.
 	OnChange func(now time.Time, s Record, peer PeerID)
 
-	known set
-	peers map[PeerID]struct{}
-	// below is the end of the log that was read with the newest list of keys.
-	below uint64
+	records recordSet
+	peers   map[PeerID]struct{}
+	// snapshotEnd is the end of the log that was read with the newest snapshot, exclusive.
+	snapshotEnd uint64
 }
 
-// PeerUp tells that a session is open. The peer is told everything: it may know older
-// statements, and a lifted evacuation must outdate those.
-func (h *Replica) PeerUp(id PeerID) {
-	if h.peers == nil {
-		h.peers = map[PeerID]struct{}{}
+// PeerUp adds a peer whose session has opened, and sends it all records: it may have older ones,
+// such as an evacuation that has been lifted since.
+func (r *Replica) PeerUp(id PeerID) {
+	if r.peers == nil {
+		r.peers = map[PeerID]struct{}{}
 	}
-	h.peers[id] = struct{}{}
-	if len(h.known) > 0 {
-		h.Send(id, h.known.sorted())
+	r.peers[id] = struct{}{}
+	if len(r.records) > 0 {
+		r.Send(id, r.records.sorted())
 	}
 }
 
-// PeerDown tells that a session has ended.
-func (h *Replica) PeerDown(id PeerID) { delete(h.peers, id) }
+// PeerDown removes a peer whose session has ended.
+func (r *Replica) PeerDown(id PeerID) { delete(r.peers, id) }
 
-// MergeFromPeer takes a peer's statements.
-func (h *Replica) MergeFromPeer(now time.Time, id PeerID, statements []Record) {
-	h.merge(now, id, statements)
+// MergeFromPeer merges the records that a peer has sent.
+func (r *Replica) MergeFromPeer(now time.Time, id PeerID, records []Record) {
+	r.merge(now, id, records)
 }
 
-// MergeRecord takes a record of the log.
-func (h *Replica) MergeRecord(now time.Time, s Record) { h.merge(now, fromLog, []Record{s}) }
+// MergeRecord merges a record that was read from the log.
+func (r *Replica) MergeRecord(now time.Time, rec Record) { r.merge(now, fromLog, []Record{rec}) }
 
-// MergeSnapshot takes all evacuations among the newest keys of the log, which were read below the
-// offset end.
-func (h *Replica) MergeSnapshot(now time.Time, listed []Record, end uint64) {
-	h.merge(now, fromLog, append(h.known.missing(listed, end), listed...))
-	h.below = max(h.below, end)
+// MergeSnapshot merges a snapshot: all evacuations among the newest keys of the log, which were
+// read below the offset end. Evacuations of lower offsets that it lacks have been lifted.
+func (r *Replica) MergeSnapshot(now time.Time, listed []Record, end uint64) {
+	r.merge(now, fromLog, append(r.records.impliedLifts(listed, end), listed...))
+	r.snapshotEnd = max(r.snapshotEnd, end)
 }
 
-func (h *Replica) merge(now time.Time, from PeerID, statements []Record) {
-	if h.known == nil {
-		h.known = set{}
+// merge merges records and forwards those that supersede known ones to all peers but their
+// sender. The sender gets them too if a record was corrected.
+func (r *Replica) merge(now time.Time, from PeerID, records []Record) {
+	if r.records == nil {
+		r.records = recordSet{}
 	}
-	var news []Record
+	var superseding []Record
 	corrects := false
-	for _, s := range statements {
-		current := h.corrected(s)
-		if s.DataCentre == "" || !h.known.take(current) {
+	for _, rec := range records {
+		current := r.corrected(rec)
+		if rec.DataCentre == "" || !r.records.merge(current) {
 			continue
 		}
-		corrects = corrects || current != s
-		news = append(news, current)
-		h.OnChange(now, current, from)
+		corrects = corrects || current != rec
+		superseding = append(superseding, current)
+		r.OnChange(now, current, from)
 	}
-	if len(news) == 0 {
+	if len(superseding) == 0 {
 		return
 	}
-	for id := range h.peers {
+	for id := range r.peers {
 		if id != from || corrects {
-			h.Send(id, news)
+			r.Send(id, superseding)
 		}
 	}
 }
 
-// corrected returns what holds of a data centre given that the newest list lacks it, where it
-// does; else the statement itself.
-func (h *Replica) corrected(s Record) Record {
-	known, is := h.known[s.DataCentre]
-	if s.Lifted || s.Offset >= h.below || is && !known.Lifted {
-		return s
+// corrected returns the lift that the newest snapshot implies if the record is an evacuation
+// that the snapshot lacks; otherwise it returns the record itself.
+func (r *Replica) corrected(rec Record) Record {
+	known, ok := r.records[rec.DataCentre]
+	if rec.Lifted || rec.Offset >= r.snapshotEnd || ok && !known.Lifted {
+		return rec
 	}
-	return Record{DataCentre: s.DataCentre, Offset: h.below - 1, Lifted: true}
+	return Record{DataCentre: rec.DataCentre, Offset: r.snapshotEnd - 1, Lifted: true}
 }
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -8,78 +8,78 @@
 	"pgregory.net/rapid"
 )
 
-// holder is a Holder that keeps what it was told and what it sends.
-type holder struct {
+// testReplica is a Replica that keeps its evacuated data centres and the records it sends.
+type testReplica struct {
 	Replica
-	out  map[string]bool
-	sent map[PeerID][]Record
+	evacuated map[string]bool
+	sent      map[PeerID][]Record
 }
 
-func newHolder() *holder {
-	h := &holder{out: map[string]bool{}, sent: map[PeerID][]Record{}}
-	h.Send = func(id PeerID, list []Record) { h.sent[id] = append(h.sent[id], list...) }
-	h.OnChange = func(_ time.Time, s Record, _ PeerID) { h.out[s.DataCentre] = !s.Lifted }
-	return h
+func newTestReplica() *testReplica {
+	r := &testReplica{evacuated: map[string]bool{}, sent: map[PeerID][]Record{}}
+	r.Send = func(id PeerID, list []Record) { r.sent[id] = append(r.sent[id], list...) }
+	r.OnChange = func(_ time.Time, rec Record, _ PeerID) { r.evacuated[rec.DataCentre] = !rec.Lifted }
+	return r
 }
 
 var now = time.Unix(1_800_000_000, 0)
 
-// Guards against a delayed peer that brings an evacuation back after it was lifted.
-func TestLiftedEvacuationOutdatesAnOlderOne(t *testing.T) {
-	g, h := NewWithT(t), newHolder()
-	h.PeerUp(1)
-	h.MergeRecord(now, Record{DataCentre: "a", Offset: 4})
-	h.MergeRecord(now, Record{DataCentre: "a", Offset: 7, Lifted: true})
-	h.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 4}})
-	g.Expect(h.out).To(HaveKeyWithValue("a", false))
-	h.PeerUp(2)
-	g.Expect(h.sent[2]).To(ConsistOf(Record{DataCentre: "a", Offset: 7, Lifted: true}))
+// Guards against a delayed peer that restores an evacuation after it was lifted.
+func TestLiftSupersedesOlderEvacuation(t *testing.T) {
+	g, r := NewWithT(t), newTestReplica()
+	r.PeerUp(1)
+	r.MergeRecord(now, Record{DataCentre: "a", Offset: 4})
+	r.MergeRecord(now, Record{DataCentre: "a", Offset: 7, Lifted: true})
+	r.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 4}})
+	g.Expect(r.evacuated).To(HaveKeyWithValue("a", false))
+	r.PeerUp(2)
+	g.Expect(r.sent[2]).To(ConsistOf(Record{DataCentre: "a", Offset: 7, Lifted: true}))
 }
 
-// Guards against targets that stay idle for good: the log has forgotten the record that
-// lifted their evacuation, and only a key is missing.
-func TestKeyThatIsMissingLiftsAnEvacuation(t *testing.T) {
-	g, h := NewWithT(t), newHolder()
-	h.MergeRecord(now, Record{DataCentre: "a", Offset: 4})
-	h.MergeRecord(now, Record{DataCentre: "b", Offset: 5})
-	h.MergeSnapshot(now, []Record{{DataCentre: "b", Offset: 5}}, 9)
-	g.Expect(h.out).To(Equal(map[string]bool{"a": false, "b": true}))
+// Guards against targets that stay idle for good because the log has dropped the record that
+// lifted their evacuation, so that only its key is missing.
+func TestKeyMissingFromSnapshotLiftsEvacuation(t *testing.T) {
+	g, r := NewWithT(t), newTestReplica()
+	r.MergeRecord(now, Record{DataCentre: "a", Offset: 4})
+	r.MergeRecord(now, Record{DataCentre: "b", Offset: 5})
+	r.MergeSnapshot(now, []Record{{DataCentre: "b", Offset: 5}}, 9)
+	g.Expect(r.evacuated).To(Equal(map[string]bool{"a": false, "b": true}))
 }
 
-// Guards against a list that was read before an evacuation and ends it.
-func TestOlderListLeavesANewerEvacuation(t *testing.T) {
-	g, h := NewWithT(t), newHolder()
-	h.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 9}})
-	h.MergeSnapshot(now, nil, 9)
-	g.Expect(h.out).To(HaveKeyWithValue("a", true))
+// Guards against a snapshot that was read before an evacuation and lifts it.
+func TestOlderSnapshotKeepsNewerEvacuation(t *testing.T) {
+	g, r := NewWithT(t), newTestReplica()
+	r.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 9}})
+	r.MergeSnapshot(now, nil, 9)
+	g.Expect(r.evacuated).To(HaveKeyWithValue("a", true))
 }
 
-// Guards against an evacuation that was lifted between two pages of a list and stays in force
-// because the list's end is right behind its record.
+// Guards against an evacuation that was lifted between two pages of a snapshot and stays in
+// force because the end of the snapshot is right after its record.
 func TestEvacuationLiftedBetweenTwoPages(t *testing.T) {
-	g, h := NewWithT(t), newHolder()
-	h.MergeRecord(now, Record{DataCentre: "a", Offset: 8})
-	h.MergeSnapshot(now, nil, 9)
-	g.Expect(h.out).To(HaveKeyWithValue("a", false))
-	h.MergeRecord(now, Record{DataCentre: "a", Offset: 9, Lifted: true})
-	h.MergeRecord(now, Record{DataCentre: "a", Offset: 10})
-	g.Expect(h.out).To(HaveKeyWithValue("a", true))
+	g, r := NewWithT(t), newTestReplica()
+	r.MergeRecord(now, Record{DataCentre: "a", Offset: 8})
+	r.MergeSnapshot(now, nil, 9)
+	g.Expect(r.evacuated).To(HaveKeyWithValue("a", false))
+	r.MergeRecord(now, Record{DataCentre: "a", Offset: 9, Lifted: true})
+	r.MergeRecord(now, Record{DataCentre: "a", Offset: 10})
+	g.Expect(r.evacuated).To(HaveKeyWithValue("a", true))
 }
 
-// Guards against a peer that goes on believing in an evacuation that was lifted before the
-// process that has read the log was started.
-func TestStarterCorrectsAPeer(t *testing.T) {
-	g, h := NewWithT(t), newHolder()
-	h.MergeSnapshot(now, nil, 9)
-	h.PeerUp(1)
-	h.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 4}})
-	g.Expect(h.out).NotTo(HaveKeyWithValue("a", true))
-	g.Expect(h.sent[1]).To(ConsistOf(Record{DataCentre: "a", Offset: 8, Lifted: true}))
+// Guards against a peer that keeps an evacuation in force which was lifted before the process
+// that has read the log was started.
+func TestRestartedProcessCorrectsPeer(t *testing.T) {
+	g, r := NewWithT(t), newTestReplica()
+	r.MergeSnapshot(now, nil, 9)
+	r.PeerUp(1)
+	r.MergeFromPeer(now, 1, []Record{{DataCentre: "a", Offset: 4}})
+	g.Expect(r.evacuated).NotTo(HaveKeyWithValue("a", true))
+	g.Expect(r.sent[1]).To(ConsistOf(Record{DataCentre: "a", Offset: 8, Lifted: true}))
 }
 
-// Guards against beliefs that depend on the order in which statements arrive, and against
-// statements that circle between peers.
-func TestBeliefsConverge(t *testing.T) {
+// Guards against replicas that depend on the order in which records arrive, and against
+// records that circulate between peers without end.
+func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
 			return Record{DataCentre: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "data centre"), Lifted: rapid.Bool().Draw(t, "lifted")}
@@ -89,7 +89,7 @@
 			records[i].Offset = uint64(i)
 			truth[records[i].DataCentre] = !records[i].Lifted
 		}
-		x, y := newHolder(), newHolder()
+		x, y := newTestReplica(), newTestReplica()
 		x.PeerUp(1)
 		y.PeerUp(1)
 		for _, i := range rapid.Permutation(index(len(records))).Draw(t, "order of x") {
@@ -99,11 +99,11 @@
 			exchange(now, x, y)
 		}
 		if len(x.sent[1])+len(y.sent[1]) > 0 {
-			t.Fatalf("statements circle: %v %v", x.sent, y.sent)
+			t.Fatalf("records circulate without end: %v %v", x.sent, y.sent)
 		}
-		for name, out := range truth {
-			if x.out[name] != out || y.out[name] != out {
-				t.Fatalf("%s: want %t, have %t and %t", name, out, x.out[name], y.out[name])
+		for name, evacuated := range truth {
+			if x.evacuated[name] != evacuated || y.evacuated[name] != evacuated {
+				t.Fatalf("%s: want %t, have %t and %t", name, evacuated, x.evacuated[name], y.evacuated[name])
 			}
 		}
 	})
@@ -117,8 +117,8 @@
 	return all
 }
 
-// exchange hands each of two peers what the other has sent.
-func exchange(now time.Time, x, y *holder) {
+// exchange delivers to each of two peers the records that the other has sent.
+func exchange(now time.Time, x, y *testReplica) {
 	toX, toY := y.sent[1], x.sent[1]
 	x.sent[1], y.sent[1] = nil, nil
 	x.MergeFromPeer(now, 1, toX)
