--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -125,8 +125,8 @@
 // Counts returns what was counted so far.
 func (c *Core) Counts() Counts { return c.counts }
 
-// Usable returns how many agents could be sent work now, were no data centre evacuated.
-func (c *Core) Usable() int {
+// UsableAgents returns how many agents could be sent work now, were no data centre evacuated.
+func (c *Core) UsableAgents() int {
 	n := 0
 	for _, a := range c.roster {
 		if a.usable() {
@@ -136,14 +136,14 @@
 	return n
 }
 
-// Live returns how many jobs have no answer yet.
-func (c *Core) Live() int { return c.jobs.live }
+// UnansweredJobs returns how many jobs have no answer yet.
+func (c *Core) UnansweredJobs() int { return c.jobs.live }
 
 // Drain makes the core refuse new jobs; what is accepted goes on.
 func (c *Core) Drain() { c.draining = true }
 
 // State returns how a job that this process knows stands; false: it knows none.
-func (c *Core) State(id string) (State, bool) {
+func (c *Core) State(id string) (JobState, bool) {
 	l := c.jobs.byID[id]
 	switch {
 	case l == nil:
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -196,7 +196,7 @@
 	w.submit(j)
 	w.Expect(w.sent()[2]).To(HaveLen(2))
 	j = w.newJob("apart", 3)
-	j.Steps[0].MostPerTarget = 1
+	j.Steps[0].MaxPerTarget = 1
 	w.submit(j)
 	w.Expect(w.sent()[1]).To(HaveLen(1))
 	w.Expect(w.sent()[3]).To(HaveLen(1))
@@ -209,7 +209,7 @@
 func TestStepsFollowEachOther(t *testing.T) {
 	w := newWorld(t, 1)
 	j := w.newJob("j", 1)
-	j.Steps = append(j.Steps, Step{Count: 1, Demand: job.Demand{CPUMilli: 1000}, Estimate: 50 * time.Millisecond, After: []int{0}})
+	j.Steps = append(j.Steps, Step{Count: 1, Demand: job.Demand{CPUMilli: 1000}, Estimate: 50 * time.Millisecond, DependsOn: []int{0}})
 	a := w.submit(j)
 	w.Expect(w.orders()).To(Equal(1))
 	w.end(1, w.sent()[1][0].Seq, wire.EndDone, 0)
--- a/internal/dispatch/evacuate_test.go
+++ b/internal/dispatch/evacuate_test.go
@@ -56,7 +56,7 @@
 	caller := w.submit(w.newJob("1", 1))
 	w.Expect(caller.got).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Evacuated),
 		HaveField("RetryAfter", BeNumerically(">", time.Second)))))
-	w.Expect(w.Usable()).To(Equal(2), "the entry can serve as soon as one is lifted")
+	w.Expect(w.UsableAgents()).To(Equal(2), "the entry can serve as soon as one is lifted")
 }
 
 // Guards against an entry that reckons with the room of an evacuated data centre and lets in
--- a/internal/dispatch/intake.go
+++ b/internal/dispatch/intake.go
@@ -33,7 +33,7 @@
 )
 
 // Submit takes a job. The waiter gets its one answer, perhaps before Submit returns.
-func (c *Core) Submit(now time.Time, j *Job, w Waiter) {
+func (c *Core) Submit(now time.Time, j *Job, w AnswerFunc) {
 	c.now = now
 	if l := c.jobs.byID[j.ID]; l != nil {
 		c.again(l, j, w)
@@ -45,7 +45,7 @@
 // again takes a job whose id is known. The first coming's answer serves where it has
 // one that says how the job ended; else the work of the first must be over before
 // the job may run from the start.
-func (c *Core) again(l *liveJob, j *Job, w Waiter) {
+func (c *Core) again(l *liveJob, j *Job, w AnswerFunc) {
 	c.counts.Repeated++
 	event.Log(c.log, event.JobAttached, "job", j.ID, "answered", l.answered, "open", l.open)
 	switch {
@@ -63,22 +63,22 @@
 	}
 }
 
-func (c *Core) begin(j *Job, w Waiter) {
+func (c *Core) begin(j *Job, w AnswerFunc) {
 	asSent := j
 	j = c.calibrated(asSent)
 	tails, chain := j.chains()
 	objective := j.Queue.Objective(chain)
 	l := &liveJob{
-		Job: j, asSent: asSent, arrived: c.now, tails: tails, waiters: []Waiter{w},
+		Job: j, asSent: asSent, arrived: c.now, tails: tails, waiters: []AnswerFunc{w},
 		objective: c.now.Add(objective), late: c.now.Add(lateFactor * objective),
-		left: make([]int, len(j.Steps)), undone: j.Tasks(),
+		left: make([]int, len(j.Steps)), undone: j.TaskCount(),
 	}
 	l.tasks = make([]task, 0, l.undone)
 	for s := range j.Steps {
 		l.left[s] = j.Steps[s].Count
 		for i := range j.Steps[s].Count {
 			t := task{step: s, index: i, state: taskWaiting}
-			if len(j.Steps[s].After) > 0 {
+			if len(j.Steps[s].DependsOn) > 0 {
 				t.state = taskBlocked
 			}
 			l.tasks = append(l.tasks, t)
@@ -100,7 +100,7 @@
 	c.jobs.add(l)
 	c.comeback.RecordAdmission(c.now)
 	c.counts.Accepted++
-	event.Log(c.log, event.JobAccepted, "job", j.ID, "queue", j.Queue.Name, "config", j.Version, "tasks", len(l.tasks),
+	event.Log(c.log, event.JobAccepted, "job", j.ID, "queue", j.Queue.Name, "config", j.ConfigVersion, "tasks", len(l.tasks),
 		"chain_ms", chain.Milliseconds(), "estimate_trust", c.line(j.Queue.Name).Reliability(),
 		"objective_ms", objective.Milliseconds(), "caller_waits_ms", j.Deadline.Sub(c.now).Milliseconds())
 	c.placeWaiting(l)
@@ -112,7 +112,7 @@
 	switch {
 	case c.draining:
 		return fault.Refused(fault.Draining, "this entry is leaving", retryAfter), 0
-	case c.Live() >= maxLive:
+	case c.UnansweredJobs() >= maxLive:
 		return fault.Refused(fault.TooManyJobs, "this entry holds as many jobs as it may", retryAfter), 0
 	}
 	evacuated := c.view(l)
@@ -174,7 +174,7 @@
 // refuse answers a job that was never let in.
 func (c *Core) refuse(l *liveJob, f *fault.Fault, predictedMs float64) {
 	c.counts.Refused++
-	event.Log(c.log, event.JobRefused, "job", l.ID, "queue", l.Queue.Name, "config", l.Version, "code", int(f.Code), "reason", f.Name,
+	event.Log(c.log, event.JobRefused, "job", l.ID, "queue", l.Queue.Name, "config", l.ConfigVersion, "code", int(f.Code), "reason", f.Name,
 		"estimate_trust", c.line(l.Queue.Name).Reliability(), "detail", f.Detail, "predicted_ms", predictedMs, "objective_ms", clock.Millis(l.objective.Sub(c.now)),
 		"caller_waits_ms", clock.Millis(l.Deadline.Sub(c.now)), "margin_ms", clock.Millis(c.margin(l.Queue).For(c.now, l.objective.Sub(c.now))), "link_wait_ms", c.link.WaitMs(c.now),
 		"targets", len(c.viewed), "oldest_load_ms", c.oldestLoadMs(), "retry_after_ms", f.RetryAfterMs)
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -10,60 +10,60 @@
 
 // Step is a number of like tasks of a job.
 type Step struct {
-	Count         int
-	Demand        job.Demand
-	Estimate      time.Duration // of one task at speed 1; rough
-	After         []int         // earlier steps that must be done first
-	Label         string        // that a target must have; empty: any
-	DataRack      string        // where its data lies; empty: anywhere
-	MostPerTarget int           // tasks of the step on one target; 0: no bound
+	Count        int
+	Demand       job.Demand
+	Estimate     time.Duration // of one task at speed 1; rough
+	DependsOn    []int         // earlier steps that must be done first
+	Label        string        // that a target must have; empty: any
+	DataRack     string        // where its data lies; empty: anywhere
+	MaxPerTarget int           // tasks of the step on one target; 0: no bound
 }
 
 // Job is a submission whose answer is its one record: it is not stored, its caller
 // waits for it, and asks again with the same id where the answer is lost.
 type Job struct {
-	ID       string
-	Queue    *routing.Queue
-	Version  uint64 // of the configuration that the queue is from
-	Spec     string // passed on to the target
-	Steps    []Step
-	Patience time.Duration // how long the caller waits, from its request on
-	Deadline time.Time     // when that is over, by the clock of the control state
+	ID            string
+	Queue         *routing.Queue
+	ConfigVersion uint64 // of the configuration that the queue is from
+	Spec          string // passed on to the target
+	Steps         []Step
+	Timeout       time.Duration // how long the caller waits, from its request on
+	Deadline      time.Time     // when that is over, by the clock of the control state
 }
 
-// State is how a job stands.
-type State uint8
+// JobState is how a job stands.
+type JobState uint8
 
 // States. Completed and Failed are final.
 const (
-	Queued State = iota + 1
+	Queued JobState = iota + 1
 	Active
 	Completed
 	Failed
 	Cancelled
 )
 
-// Kind says what an answer means.
-type Kind uint8
+// AnswerKind says what an answer means.
+type AnswerKind uint8
 
 // Kinds of answers.
 const (
-	AnswerComplete Kind = iota + 1 // every task is done
-	AnswerFailed                   // a task has failed as often as it may
-	AnswerNotRun                   // nothing of the job has run or will
-	AnswerUnknown                  // given up; something of it may have run
+	AnswerComplete AnswerKind = iota + 1 // every task is done
+	AnswerFailed                         // a task has failed as often as it may
+	AnswerNotRun                         // nothing of the job has run or will
+	AnswerUnknown                        // given up; something of it may have run
 )
 
 // Answer is a job's one final answer.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	Fault      *fault.Fault  // for AnswerNotRun and AnswerUnknown, and AnswerFailed without a task's failures
 	RetryAfter time.Duration // for AnswerNotRun: when it is worth coming back
 }
 
-// Waiter receives a job's answer. It is called once, on the control goroutine, and
+// AnswerFunc receives a job's answer. It is called once, on the control goroutine, and
 // must not block.
-type Waiter func(Answer)
+type AnswerFunc func(Answer)
 
 // chains returns, for each step, the longest chain of estimated work from its start
 // to the end of the job, and the longest of all.
@@ -72,15 +72,15 @@
 	for s := len(j.Steps) - 1; s >= 0; s-- {
 		tails[s] += j.Steps[s].Estimate
 		longest = max(longest, tails[s])
-		for _, before := range j.Steps[s].After {
+		for _, before := range j.Steps[s].DependsOn {
 			tails[before] = max(tails[before], tails[s])
 		}
 	}
 	return tails, longest
 }
 
-// Tasks returns the number of tasks.
-func (j *Job) Tasks() int {
+// TaskCount returns the number of tasks.
+func (j *Job) TaskCount() int {
 	n := 0
 	for i := range j.Steps {
 		n += j.Steps[i].Count
@@ -141,7 +141,7 @@
 	ending    bool // given up; the answer waits for proof that nothing ran
 	endBy     time.Time
 	endFault  *fault.Fault
-	waiters   []Waiter
+	waiters   []AnswerFunc
 	runOffset uint64      // added to run numbers, where a target has seen higher ones
 	next      *pendingJob // came again while attempts of this one are open
 	last      lastTask    // of those that are done
@@ -162,6 +162,6 @@
 // be over.
 type pendingJob struct {
 	job    *Job
-	waiter Waiter
+	waiter AnswerFunc
 	since  time.Time
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -100,7 +100,7 @@
 	s := &l.Steps[t.step]
 	spec := earliest.Task{
 		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate), RemainingMs: c.leftMs(l, t),
-		MaxPerTarget: s.MostPerTarget, RemoteFactor: c.o.RemoteFactor,
+		MaxPerTarget: s.MaxPerTarget, RemoteFactor: c.o.RemoteFactor,
 	}
 	if s.Label != "" || len(t.failedAt) > 0 {
 		spec.Fits = func(i int) bool {
--- a/internal/dispatch/sessions.go
+++ b/internal/dispatch/sessions.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Note queues a note on the configuration for a session.
-func (c *Core) Note(conn ConnID, note wire.ConfigNote) {
+// QueueConfigNote queues a note on the configuration for a session.
+func (c *Core) QueueConfigNote(conn ConnID, note wire.ConfigNote) {
 	a := c.agents[conn]
 	if a == nil {
 		return
@@ -138,11 +138,11 @@
 	c.evacuated[dataCentre] = struct{}{}
 }
 
-// Evacuated returns how many data centres are evacuated.
-func (c *Core) Evacuated() int { return len(c.evacuated) }
+// EvacuatedDataCentres returns how many data centres are evacuated.
+func (c *Core) EvacuatedDataCentres() int { return len(c.evacuated) }
 
-// NoteEvacuations queues statements on evacuations for a session.
-func (c *Core) NoteEvacuations(conn ConnID, statements []wire.Evacuation) {
+// QueueEvacuations queues statements on evacuations for a session.
+func (c *Core) QueueEvacuations(conn ConnID, statements []wire.Evacuation) {
 	a := c.agents[conn]
 	if a == nil {
 		return
@@ -150,8 +150,8 @@
 	a.out.Evacuations, a.dirty = append(a.out.Evacuations, statements...), true
 }
 
-// Pace asks an agent to report its load at most that often.
-func (c *Core) Pace(conn ConnID, every time.Duration) {
+// QueueLoadInterval asks an agent to report its load at most that often.
+func (c *Core) QueueLoadInterval(conn ConnID, every time.Duration) {
 	a := c.agents[conn]
 	if a == nil || every <= 0 {
 		return
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -73,7 +73,7 @@
 	changed := false
 	for i := range l.tasks {
 		t := &l.tasks[i]
-		if t.state != taskBlocked || slices.ContainsFunc(l.Steps[t.step].After, func(s int) bool { return l.left[s] > 0 }) {
+		if t.state != taskBlocked || slices.ContainsFunc(l.Steps[t.step].DependsOn, func(s int) bool { return l.left[s] > 0 }) {
 			continue
 		}
 		t.state, changed = taskWaiting, true
--- a/internal/dispatcher/answer.go
+++ b/internal/dispatcher/answer.go
@@ -55,7 +55,7 @@
 // setDeadline tells the job's deadline by the clock that decisions are made by. The host's
 // time of day may jump: with a deadline told by it, a jump of three seconds back made
 // every job seem to be past its time until the clock was right again.
-func (d *Dispatcher) setDeadline(j *dispatch.Job) { j.Deadline = d.clock.Now().Add(j.Patience) }
+func (d *Dispatcher) setDeadline(j *dispatch.Job) { j.Deadline = d.clock.Now().Add(j.Timeout) }
 
 // ask runs a question on the control goroutine; one that finds no room is answered
 // like one about a job that is not known.
@@ -66,7 +66,7 @@
 }
 
 // State returns how a job stands; false: it is not known here.
-func (d *Dispatcher) State(id string) (st dispatch.State, known bool) {
+func (d *Dispatcher) State(id string) (st dispatch.JobState, known bool) {
 	d.ask(func(_ time.Time, c *dispatch.Core) { st, known = c.State(id) })
 	return st, known
 }
--- a/internal/dispatcher/answer_test.go
+++ b/internal/dispatcher/answer_test.go
@@ -16,7 +16,7 @@
 func TestDeadlinesFollowTheClockOfTheDecisions(t *testing.T) {
 	ahead := clock.NewFake(time.Now().Add(3 * time.Second))
 	d := &Dispatcher{clock: ahead}
-	j := &dispatch.Job{Patience: 2 * time.Second}
+	j := &dispatch.Job{Timeout: 2 * time.Second}
 	d.setDeadline(j)
 	NewWithT(t).Expect(j.Deadline.Sub(ahead.Now())).To(Equal(2 * time.Second))
 }
--- a/internal/dispatcher/counters.go
+++ b/internal/dispatcher/counters.go
@@ -31,9 +31,9 @@
 // update copies the control state's figures.
 func (c *counters) update(core *dispatch.Core) {
 	n := core.Counts()
-	c.Copy("dispatch.agents_usable", uint64(core.Usable()))
-	c.Copy("dispatch.evacuated_data_centres", uint64(core.Evacuated()))
-	c.Copy("dispatch.jobs_live", uint64(core.Live()))
+	c.Copy("dispatch.agents_usable", uint64(core.UsableAgents()))
+	c.Copy("dispatch.evacuated_data_centres", uint64(core.EvacuatedDataCentres()))
+	c.Copy("dispatch.jobs_live", uint64(core.UnansweredJobs()))
 	c.Copy("dispatch.jobs_accepted", n.Accepted)
 	c.Copy("dispatch.jobs_refused", n.Refused)
 	c.Copy("dispatch.jobs_complete", n.Complete)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -135,9 +135,9 @@
 		RemoteFactor: d.o.RemoteFactor, LinkMbps: d.o.LinkMbps, Now: time.Now,
 	})
 	s.conf = &confsync.Holder{Adopt: d.adopt}
-	s.conf.Send = func(id confsync.PeerID, note confNote) { s.core.Note(dispatch.ConnID(id), note) }
+	s.conf.Send = func(id confsync.PeerID, note confNote) { s.core.QueueConfigNote(dispatch.ConnID(id), note) }
 	s.evacuations = leased.NewEvacuations(d.log, func(id evacuation.PeerID, list []evacuation.Record) {
-		s.core.NoteEvacuations(dispatch.ConnID(id), list)
+		s.core.QueueEvacuations(dispatch.ConnID(id), list)
 	}, s.core.Evacuate)
 	return s
 }
@@ -180,7 +180,7 @@
 	s.conf.Tick(now)
 	d.sessions.passOn(s)
 	d.sessions.pace(s)
-	d.usable.Store(int64(s.core.Usable()))
+	d.usable.Store(int64(s.core.UsableAgents()))
 }
 
 func (d *Dispatcher) refreshMetrics() error {
@@ -235,7 +235,7 @@
 	_ = d.loop.Push(func(_ time.Time, s *state) { s.core.Drain() }) // an error means that it has ended
 	until := began.Add(d.o.Grace - exitTail)
 	for live := 1; live > 0 && time.Now().Before(until) && ctx.Err() == nil; {
-		if err := d.loop.Do(lookPatience, func(_ time.Time, s *state) { live = s.core.Live() }); err != nil {
+		if err := d.loop.Do(lookPatience, func(_ time.Time, s *state) { live = s.core.UnansweredJobs() }); err != nil {
 			break
 		}
 		clock.Sleep(ctx, tickEvery)
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -120,7 +120,7 @@
 		r.conns[r.id] = r.conn
 		s.learn(r.o.InnerAddr, h.Entries)
 		s.core.Connect(now, r.id, h)
-		s.core.Pace(r.id, s.loadEvery)
+		s.core.QueueLoadInterval(r.id, s.loadEvery)
 		s.evacuations.PeerUp(evacuation.PeerID(r.id))
 		s.conf.Up(confsync.PeerID(r.id))
 	})
@@ -160,7 +160,7 @@
 	event.Log(s.log, event.ReportsPaced, "every_ms", clock.Millis(every), "was_ms", clock.Millis(st.loadEvery), "runners", len(s.conns))
 	st.loadEvery = every
 	for id := range s.conns {
-		st.core.Pace(id, every)
+		st.core.QueueLoadInterval(id, every)
 	}
 }
 
--- a/internal/leased/simlog_test.go
+++ b/internal/leased/simlog_test.go
@@ -67,7 +67,7 @@
 func (e *simEntry) believe() {
 	e.evacuated = map[string]bool{}
 	e.belief = &evacuation.Replica{
-		Send: func(id evacuation.PeerID, list []evacuation.Record) { e.NoteEvacuations(dispatch.ConnID(id), list) },
+		Send: func(id evacuation.PeerID, list []evacuation.Record) { e.QueueEvacuations(dispatch.ConnID(id), list) },
 		OnChange: func(now time.Time, s evacuation.Record, _ evacuation.PeerID) {
 			e.evacuated[s.DataCentre] = !s.Lifted
 			e.Evacuate(now, s.DataCentre, s.Lifted)
