--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -11,20 +11,20 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// sink takes frames and keeps the orders of the last flush.
-type sink struct{ orders map[ConnID][]wire.Order }
+// frameSink is an Outbox that keeps the orders of the last frame to each agent.
+type frameSink struct{ orders map[ConnID][]wire.Order }
 
-func (s *sink) Send(id ConnID, f *wire.ToAgent) { s.orders[id] = f.Leased.Orders }
-func (s *sink) Close(ConnID)                    {}
+func (s *frameSink) Send(id ConnID, f *wire.ToAgent) { s.orders[id] = f.Leased.Orders }
+func (s *frameSink) Close(ConnID)                    {}
 
-// BenchmarkJob is the control state's time for a job of eight tasks from its coming to its
-// answer, by the number of agents that the entry knows. The loads of all agents come once
-// for each two jobs.
+// BenchmarkJob measures the time that the control state spends on a job of eight tasks from
+// its submission to its answer, by the number of agents that the entry knows. Each agent
+// with orders reports its load with their outcomes.
 func BenchmarkJob(b *testing.B) {
 	for _, agents := range []int{10, 60, 200, 760} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
 			now := time.Unix(1_800_000_000, 0)
-			out := &sink{orders: map[ConnID][]wire.Order{}}
+			out := &frameSink{orders: map[ConnID][]wire.Order{}}
 			c := New(Options{Log: logr.Discard(), Outbox: out, LeaseLimit: time.Second, Now: func() time.Time { return now }})
 			capacity := job.Demand{CPUMilli: 64_000, MemoryMB: 256_000}
 			for i := range agents {
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -9,13 +9,14 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// quarantineRetryAfter is when the caller of a quarantined job is asked to come back: targets that
-// crash are back after some seconds, and then it is known whether they had.
+// quarantineRetryAfter is the retry delay for the caller of a quarantined job. Crashed targets
+// restart within some seconds; by then it is known whether they had crashed.
 const quarantineRetryAfter = 3 * time.Second
 
-// hearCrash takes what an agent tells of a life of its target.
-func (c *Core) hearCrash(a *agent, crash *wire.Crash) {
-	life := crashloop.Incarnation{Target: crash.Target, StartedMs: crash.BornMs}
+// recordCrash passes an agent's report on an incarnation of its target to the crash loop
+// detector: that it does not answer, has crashed, or answers again.
+func (c *Core) recordCrash(a *agent, crash *wire.Crash) {
+	incarnation := crashloop.Incarnation{Target: crash.Target, StartedMs: crash.BornMs}
 	tasks := make([]crashloop.Task, len(crash.Tasks))
 	for i, t := range crash.Tasks {
 		tasks[i] = crashloop.Task{Job: t.Job, Step: t.Step, Index: t.Index}
@@ -23,16 +24,16 @@
 	event.Log(c.log, event.TargetCrashed, "host", a.host, "target", crash.Target, "born_ms", crash.BornMs, "fate", int(crash.Fate), "tasks", len(tasks))
 	switch crash.Fate {
 	case wire.FateSilent:
-		c.crashes.RecordUnresponsive(c.now, life, tasks)
+		c.crashes.RecordUnresponsive(c.now, incarnation, tasks)
 	case wire.FateCrashed:
-		c.crashes.RecordCrash(c.now, life, tasks)
+		c.crashes.RecordCrash(c.now, incarnation, tasks)
 	case wire.FateBack:
-		c.crashes.RecordRecovery(life)
+		c.crashes.RecordRecovery(incarnation)
 	}
 }
 
-// judge returns the worst verdict on the tasks of the job that wait to be started.
-func (c *Core) judge(l *liveJob) crashloop.Verdict {
+// crashLoopVerdict returns the worst verdict on the waiting tasks of the job.
+func (c *Core) crashLoopVerdict(l *liveJob) crashloop.Verdict {
 	worst := crashloop.Clear
 	for i := range l.tasks {
 		t := &l.tasks[i]
@@ -48,16 +49,17 @@
 	return worst
 }
 
-// endCrashLoop answers a job as failed where a task of it is not to be started again, since it
-// crashes the targets that do.
-func (c *Core) endCrashLoop(l *liveJob) bool {
-	if c.judge(l) != crashloop.CrashLoop {
+// failIfCrashLoop answers a job as failed if one of its waiting tasks crashes the targets that
+// start it. It reports whether it did.
+func (c *Core) failIfCrashLoop(l *liveJob) bool {
+	if c.crashLoopVerdict(l) != crashloop.CrashLoop {
 		return false
 	}
-	c.finishCrashLoop(l)
+	c.failCrashLoop(l)
 	return true
 }
 
-func (c *Core) finishCrashLoop(l *liveJob) {
+// failCrashLoop answers a job as failed because of a crash loop.
+func (c *Core) failCrashLoop(l *liveJob) {
 	c.finish(l, Answer{Kind: AnswerFailed, Fault: fault.New(fault.TaskFailed, "a task of it crashes the targets that start it")})
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,22 +1,24 @@
-// Package dispatch is the control state of an entry in front of leased targets:
-// the jobs that this process answers for, the agents that are connected and the
-// orders sent to them.
+// Package dispatch holds the control state of an entry that serves leased targets:
+// the jobs that this process answers, the connected agents and the orders sent to
+// them.
 //
-// A job lives in the memory of one process. Its caller holds a connection open for
-// it and sends it again, to any entry, a fixed pause after that connection broke or
-// it was told that the outcome is unknown. So the state has to make sure of two
-// things. What is said of a job is true: "not run" only while no order for it was
-// ever sent, or each was proved not to have run. And what runs of a job is over
-// before its caller may come again: its work is stopped as soon as the caller is
-// gone, and an agent stops what it runs for an entry that it hears nothing of.
+// A job is kept only in the memory of one process. Its caller holds a connection open
+// for it. When that connection breaks, or the answer is that the outcome is unknown,
+// the caller sends the job again after a fixed pause, to any entry. The package
+// therefore guarantees two things. Answers are correct: a job is answered as "not
+// run" only if no order for it was ever sent or every order is proved not to have
+// run. And the runs of a job are over before its caller may send it again: its orders
+// are recalled as soon as the caller disconnects, and an agent that loses contact with
+// an entry stops what it runs for it.
 //
-// It decides at once, when a job comes: the tasks are placed on the agents' targets
-// by predicted end, and a job whose prediction is past the time its caller wants it
-// by is refused then and there. Nothing waits here; what can't start at once waits at
-// the agent, where room comes up and the work of all entries meets.
+// Admission is decided when a job arrives. Its tasks are placed on the agents' targets
+// by predicted end, and a job whose predicted end is too far past its objective is
+// refused immediately. The entry queues no tasks: a task that can't start at once
+// waits at the agent, which sees capacity become free and receives the orders of all
+// entries.
 //
-// The state is a blackboard that small controllers read and write, on one goroutine,
-// without a network and with the time handed in.
+// The state follows the blackboard pattern: small controllers read and write it on one
+// goroutine. It does no network I/O, and callers pass in the current time.
 package dispatch
 
 import (
@@ -33,102 +35,106 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// ConnID names a session with an agent; it is never reused.
+// ConnID identifies a session with an agent. It is never reused.
 type ConnID uint64
 
-// Outbox sends frames to agents. No method may block.
+// Outbox sends frames to agents and closes their sessions. No method may block.
 type Outbox interface {
 	Send(ConnID, *wire.ToAgent)
 	Close(ConnID)
 }
 
-// Options of a Core.
+// Options configure a Core.
 type Options struct {
 	Log        logr.Logger
 	Outbox     Outbox
 	DataCentre string
-	// LeaseLimit is the longest lease of a target: what an agent that is gone left
-	// running is over after it.
+	// LeaseLimit is the longest lease of a target. The runs that a lost agent left
+	// behind end within it.
 	LeaseLimit time.Duration
-	// RemoteFactor is how many times longer a task takes away from its data.
+	// RemoteFactor is how many times longer a task takes on a target outside the rack of
+	// its data.
 	RemoteFactor float64
-	// LinkMbps is the width of the host's network link; 0: not known, or no limit.
+	// LinkMbps is the bandwidth of the host's network link in Mbit/s; 0: unknown or
+	// unlimited.
 	LinkMbps float64
-	// Now tells the time of day, for run numbers.
+	// Now returns the time of day. Run numbers are derived from it.
 	Now func() time.Time
 }
 
-// Counts add up what the core did.
+// Counts are the counters of a Core since it was created.
 type Counts struct {
 	Accepted, Refused, Complete, Failed, Unknown, Abandoned, Repeated uint64
 	Orders, Recalls, NotRun, Stopped, Moved                           uint64
 }
 
-// board is the blackboard.
-type board struct {
-	o        Options
-	log      logr.Logger
-	now      time.Time
-	jobs     table
-	agents   map[ConnID]*agent
-	roster   []*agent   // in order of their sessions
-	lost     []*attempt // of ended sessions, in the order in which they are surely over
-	draining bool
-	lastRun  uint64 // highest number of a start so far
-	counts   Counts
-	lines    map[string]*calibration.Regression // what estimates are worth, by queue
-	margins  map[string]*headroom.Margin        // by queue
-	link     *uplink.Link
-	comeback comeback.Schedule // for those who are refused
-	// evacuated are the data centres on whose targets nothing is to start.
+// coreState is the blackboard that the controllers share.
+type coreState struct {
+	options       Options
+	log           logr.Logger
+	now           time.Time
+	jobs          table
+	agents        map[ConnID]*agent
+	agentsByAge   []*agent   // in the order in which their sessions opened
+	lostAttempts  []*attempt // of ended sessions, ordered by latestEnd
+	draining      bool
+	lastRun       uint64 // highest run number of this entry so far, without any runOffset
+	counts        Counts
+	calibrations  map[string]*calibration.Regression // corrections of estimates, by queue
+	margins       map[string]*headroom.Margin        // admission margins, by queue
+	link          *uplink.Link
+	retrySchedule comeback.Schedule // when refused callers should retry
+	// evacuated are the data centres in which no task may start.
 	evacuated map[string]struct{}
 	crashes   *crashloop.Detector
 
-	candidates []earliest.Candidate // scratch of a placement
-	viewed     []*agent
+	candidates      []earliest.Candidate // buffer that each placement reuses
+	candidateAgents []*agent             // agents of candidates, at the same indexes
 }
 
-// agent is one session with an agent.
+// agent is the state of one session with an agent.
 type agent struct {
-	conn       ConnID
-	host       string
-	dataCentre string
-	target     *wire.LeasedTarget // nil before one is known
-	load       wire.Load
-	loadAt     time.Time
-	downAt     time.Time // when its target was first said to be away
-	nextSeq    uint64
-	attempts   map[uint64]*attempt
-	unseen     []unseen // orders that load does not count in yet
-	out        wire.LeasedToAgent
-	dirty      bool
+	conn        ConnID
+	host        string
+	dataCentre  string
+	target      *wire.LeasedTarget // nil until the agent has reported it
+	load        wire.Load
+	loadAt      time.Time
+	downSince   time.Time // when the agent first reported its target as down
+	nextSeq     uint64
+	attempts    map[uint64]*attempt
+	uncounted   []uncountedOrder   // orders that load does not include yet
+	outgoing    wire.LeasedToAgent // next frame, sent by Flush
+	hasOutgoing bool
 }
 
-// unseen is an order sent after the newest load was drawn up.
-type unseen struct {
+// uncountedOrder is an order that the newest load report of its agent does not include
+// yet. It is subtracted from the reported free capacity.
+type uncountedOrder struct {
 	seq   uint64
 	task  earliest.Task
 	index int
 }
 
-// Core is the control state. It is not safe for concurrent use.
-type Core struct{ *board }
+// Core is the control state of an entry. It is not safe for concurrent use.
+type Core struct{ *coreState }
 
-// New returns an empty core.
+// New returns a Core without jobs and agents.
 func New(o Options) *Core {
-	return &Core{&board{
-		o: o, log: o.Log, jobs: newTable(), agents: map[ConnID]*agent{}, lines: map[string]*calibration.Regression{}, margins: map[string]*headroom.Margin{},
+	return &Core{&coreState{
+		options: o, log: o.Log, jobs: newTable(), agents: map[ConnID]*agent{}, calibrations: map[string]*calibration.Regression{}, margins: map[string]*headroom.Margin{},
 		evacuated: map[string]struct{}{}, crashes: crashloop.New(), link: uplink.New(o.LinkMbps),
 	}}
 }
 
-// Counts returns what was counted so far.
+// Counts returns the current counters.
 func (c *Core) Counts() Counts { return c.counts }
 
-// UsableAgents returns how many agents could be sent work now, were no data centre evacuated.
+// UsableAgents returns how many agents can take orders now. Agents in evacuated data
+// centres are included.
 func (c *Core) UsableAgents() int {
 	n := 0
-	for _, a := range c.roster {
+	for _, a := range c.agentsByAge {
 		if a.usable() {
 			n++
 		}
@@ -136,13 +142,14 @@
 	return n
 }
 
-// UnansweredJobs returns how many jobs have no answer yet.
-func (c *Core) UnansweredJobs() int { return c.jobs.live }
+// UnansweredJobs returns the number of jobs without an answer.
+func (c *Core) UnansweredJobs() int { return c.jobs.unanswered }
 
-// Drain makes the core refuse new jobs; what is accepted goes on.
+// Drain makes the core refuse new jobs. Accepted jobs continue.
 func (c *Core) Drain() { c.draining = true }
 
-// State returns how a job that this process knows stands; false: it knows none.
+// State returns the state of a job. It returns false for an unknown ID and for a job
+// that was answered as not run or with an unknown outcome.
 func (c *Core) State(id string) (JobState, bool) {
 	l := c.jobs.byID[id]
 	switch {
@@ -158,38 +165,40 @@
 	return 0, false
 }
 
-// Pending returns how many jobs of a queue have no sign of having started.
+// Pending returns how many unanswered jobs of a queue have no finished task.
 func (c *Core) Pending(queue string) int {
 	n := 0
 	for l := range c.jobs.unsettled {
-		if !l.answered && l.Queue.Name == queue && l.undone == len(l.tasks) {
+		if !l.answered && l.Queue.Name == queue && l.unfinished == len(l.tasks) {
 			n++
 		}
 	}
 	return n
 }
 
-// Flush sends what has gathered. Call it after each batch of calls.
+// Flush sends the frames that have accumulated, one per agent. The owner calls it after
+// each batch of calls.
 func (c *Core) Flush() {
-	for _, a := range c.roster {
-		if !a.dirty {
+	for _, a := range c.agentsByAge {
+		if !a.hasOutgoing {
 			continue
 		}
-		out := a.out
-		a.out, a.dirty = wire.LeasedToAgent{}, false
-		c.o.Outbox.Send(a.conn, &wire.ToAgent{Leased: &out})
+		out := a.outgoing
+		a.outgoing, a.hasOutgoing = wire.LeasedToAgent{}, false
+		c.options.Outbox.Send(a.conn, &wire.ToAgent{Leased: &out})
 	}
 }
 
-// Tick does what only the passing of time brings about.
+// Tick handles everything that depends on time alone: deadlines, leases, lost targets,
+// overdue tasks and the expiry of kept answers.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
-	c.overLost()
-	c.downTargets()
+	c.settleLostAttempts()
+	c.giveUpOnDownTargets()
 	for l := range c.jobs.unsettled {
-		c.look(l)
-		c.moveOverdue(l)
-		if l.answered && l.open == 0 && l.next == nil {
+		c.advanceJob(l)
+		c.recallOverdueTasks(l)
+		if l.answered && l.openAttempts == 0 && l.resubmission == nil {
 			c.jobs.settle(l)
 		}
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -12,415 +12,417 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// The way of a job on a calm day: its tasks are placed at once, spread over the
-// targets, and the caller has its answer with the last end.
-func TestJobIsAnsweredWithItsLastTask(t *testing.T) {
-	w := newWorld(t, 3)
-	a := w.submit(w.newJob("j", 3))
-	w.Expect(w.orders()).To(Equal(3))
-	for id, list := range w.sent() {
-		w.Expect(list).To(HaveLen(1), "one task a target")
-		w.Expect(a.got).To(BeEmpty())
-		w.end(id, list[0].Seq, wire.EndDone, 0)
+// Guards the normal course of a job: its tasks are placed immediately, spread over the
+// targets, and the caller is answered when the last one ends.
+func TestJobIsAnsweredAfterItsLastTask(t *testing.T) {
+	h := newHarness(t, 3)
+	caller := h.submit(h.newJob("j", 3))
+	h.Expect(h.orderCount()).To(Equal(3))
+	for id, list := range h.sentOrders() {
+		h.Expect(list).To(HaveLen(1), "one task per target")
+		h.Expect(caller.answers).To(BeEmpty())
+		h.reportOutcome(id, list[0].Seq, wire.EndDone, 0)
 	}
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerComplete)))
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerComplete)))
 }
 
-// No target can do the job in the time that its caller wants it in. Let in, it would be
-// late and make others late; held, its caller would wait for nothing. It is refused at
-// once, nothing of it is sent, and the caller is told when to come back.
-func TestHopelessJobIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, 2)
-	w.load(1, w.full(500))
-	w.load(2, w.full(500))
-	a := w.submit(w.newJob("j", 2))
-	w.Expect(a.got).To(HaveLen(1))
-	w.Expect(a.got[0].Kind).To(Equal(AnswerNotRun))
-	w.Expect(a.got[0].Fault.Code).To(Equal(fault.Overloaded))
-	w.Expect(a.got[0].RetryAfter).To(BeNumerically(">=", time.Second))
-	w.Expect(w.orders()).To(Equal(0))
+// Guards against a job that no target can complete within its objective: admitted, it
+// would be late and delay others; held back, its caller would wait in vain. It must be
+// refused immediately with a retry delay, and no order of it may be sent.
+func TestJobThatWouldBeLateIsRefusedAtOnce(t *testing.T) {
+	h := newHarness(t, 2)
+	h.setLoad(1, h.fullLoad(500))
+	h.setLoad(2, h.fullLoad(500))
+	caller := h.submit(h.newJob("j", 2))
+	h.Expect(caller.answers).To(HaveLen(1))
+	h.Expect(caller.answers[0].Kind).To(Equal(AnswerNotRun))
+	h.Expect(caller.answers[0].Fault.Code).To(Equal(fault.Overloaded))
+	h.Expect(caller.answers[0].RetryAfter).To(BeNumerically(">=", time.Second))
+	h.Expect(h.orderCount()).To(Equal(0))
 }
 
-// A job was let in, and then the targets turned slow: its tasks come back without
-// having run. The caller is told that it has not run, but only after every order is
-// proved so; told before, a task that starts after all would make it a lie.
-func TestNotRunIsSaidAfterTheLastProof(t *testing.T) {
-	w := newWorld(t, 2)
-	w.load(1, w.full(30)) // the tasks wait
-	w.load(2, w.full(30))
-	a := w.submit(w.newJob("j", 2))
-	one, two := w.sent()[1][0], w.sent()[2][0]
-	w.end(1, one.Seq, wire.EndNotRun, wire.NotRunLate)
-	w.Expect(a.got).To(BeEmpty(), "the other order may be running")
-	w.Expect(w.out.recalls[2]).To(ConsistOf(two.Seq))
-	w.end(2, two.Seq, wire.EndNotRun, wire.NotRunRecalled)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerNotRun)))
+// Guards against a premature "not run": the targets become slow after the admission of a
+// job, and its tasks are returned unstarted. If the caller were answered before every
+// order is proved not to have run, a task could still start and make the answer false.
+func TestNotRunIsAnsweredOnlyAfterProofForEveryOrder(t *testing.T) {
+	h := newHarness(t, 2)
+	h.setLoad(1, h.fullLoad(30)) // the tasks wait
+	h.setLoad(2, h.fullLoad(30))
+	caller := h.submit(h.newJob("j", 2))
+	one, two := h.sentOrders()[1][0], h.sentOrders()[2][0]
+	h.reportOutcome(1, one.Seq, wire.EndNotRun, wire.NotRunLate)
+	h.Expect(caller.answers).To(BeEmpty(), "the other order may be running")
+	h.Expect(h.out.recalls[2]).To(ConsistOf(two.Seq))
+	h.reportOutcome(2, two.Seq, wire.EndNotRun, wire.NotRunRecalled)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerNotRun)))
 }
 
-// The same, but one task had begun by then. Whatever the caller is told, it must not be
-// "not run": it would send a confirmation again that has been billed.
-func TestNotRunIsNotSaidOfAJobThatBegan(t *testing.T) {
-	w := newWorld(t, 2)
-	w.load(1, w.full(30)) // the tasks wait
-	w.load(2, w.full(30))
-	a := w.submit(w.newJob("j", 2))
-	w.end(1, w.sent()[1][0].Seq, wire.EndNotRun, wire.NotRunLate)
-	w.end(2, w.sent()[2][0].Seq, wire.EndStopped, 0)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
+// Guards against a false "not run" for a job of which one task had started when it was
+// given up: the caller would send a confirmation again that has already been billed.
+func TestNotRunIsNotAnsweredForAJobThatBegan(t *testing.T) {
+	h := newHarness(t, 2)
+	h.setLoad(1, h.fullLoad(30)) // the tasks wait
+	h.setLoad(2, h.fullLoad(30))
+	caller := h.submit(h.newJob("j", 2))
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndNotRun, wire.NotRunLate)
+	h.reportOutcome(2, h.sentOrders()[2][0].Seq, wire.EndStopped, 0)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
 
-// The proof does not come: the agent hangs. The caller must not wait for it.
+// Guards against a caller that waits for the proof of "not run" of an agent that hangs.
 func TestMissingProofMakesTheOutcomeUnknown(t *testing.T) {
-	w := newWorld(t, 2)
-	w.load(1, w.full(30)) // the tasks wait
-	w.load(2, w.full(30))
-	a := w.submit(w.newJob("j", 2))
-	w.end(1, w.sent()[1][0].Seq, wire.EndNotRun, wire.NotRunLate)
-	w.pass(2 * proofWait)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
+	h := newHarness(t, 2)
+	h.setLoad(1, h.fullLoad(30)) // the tasks wait
+	h.setLoad(2, h.fullLoad(30))
+	caller := h.submit(h.newJob("j", 2))
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndNotRun, wire.NotRunLate)
+	h.advance(2 * maxProofWait)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
 
-// A task fails on one target. It is tried on another one; "failed" is said only when one
-// task has failed as often as its queue allows. Ends without a result don't count: a
-// job must not fail for a target that was taken away.
-func TestFailedOnlyAfterItsAttempts(t *testing.T) {
-	w := newWorld(t, 2)
-	a := w.submit(w.newJob("j", 1))
+// Guards against a job that is answered as failed too early: a task that failed is tried on
+// another target until it has failed the maximum number of times of its queue. Ends without
+// a result don't count, so that a job does not fail because a target was withdrawn.
+func TestJobFailsOnlyAfterMaxAttempts(t *testing.T) {
+	h := newHarness(t, 2)
+	caller := h.submit(h.newJob("j", 1))
 	first := ConnID(1)
-	if len(w.sent()[1]) == 0 {
+	if len(h.sentOrders()[1]) == 0 {
 		first = 2
 	}
 	other := 3 - first
-	w.end(first, w.sent()[first][0].Seq, wire.EndStopped, 0)
-	w.end(first, w.sent()[first][0].Seq, wire.EndStopped, 0) // a repeated report
-	w.Expect(w.orders()).To(Equal(2))
-	at := first
-	if len(w.sent()[first]) == 1 {
-		at = other
+	h.reportOutcome(first, h.sentOrders()[first][0].Seq, wire.EndStopped, 0)
+	h.reportOutcome(first, h.sentOrders()[first][0].Seq, wire.EndStopped, 0) // a repeated report
+	h.Expect(h.orderCount()).To(Equal(2))
+	placedOn := first
+	if len(h.sentOrders()[first]) == 1 {
+		placedOn = other
 	}
-	w.end(at, w.sent()[at][len(w.sent()[at])-1].Seq, wire.EndFailed, 0)
-	w.Expect(a.got).To(BeEmpty())
-	next := 3 - at
-	w.Expect(w.orders()).To(Equal(3))
-	w.end(next, w.sent()[next][len(w.sent()[next])-1].Seq, wire.EndFailed, 0)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerFailed)))
+	h.reportOutcome(placedOn, h.sentOrders()[placedOn][len(h.sentOrders()[placedOn])-1].Seq, wire.EndFailed, 0)
+	h.Expect(caller.answers).To(BeEmpty())
+	next := 3 - placedOn
+	h.Expect(h.orderCount()).To(Equal(3))
+	h.reportOutcome(next, h.sentOrders()[next][len(h.sentOrders()[next])-1].Seq, wire.EndFailed, 0)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerFailed)))
 }
 
-// The caller of a job leaves. It may ask again elsewhere in 1.3 s, so the work is called
-// back at once.
-func TestWorkStopsWhenTheCallerLeaves(t *testing.T) {
-	w := newWorld(t, 2)
-	w.submit(w.newJob("j", 2))
-	w.Abandon(w.now, "j")
-	w.Flush()
-	w.Expect(w.out.recalls).To(And(HaveKeyWithValue(ConnID(1), HaveLen(1)), HaveKeyWithValue(ConnID(2), HaveLen(1))))
+// Guards against runs that continue after the caller has disconnected. It may send the job
+// to another entry in 1.3 s, so the orders are recalled immediately.
+func TestWorkIsRecalledWhenTheCallerDisconnects(t *testing.T) {
+	h := newHarness(t, 2)
+	h.submit(h.newJob("j", 2))
+	h.Abandon(h.now, "j")
+	h.Flush()
+	h.Expect(h.out.recalls).To(And(HaveKeyWithValue(ConnID(1), HaveLen(1)), HaveKeyWithValue(ConnID(2), HaveLen(1))))
 }
 
-// A job is sent again to the same entry while what ran of it is being stopped. It runs
-// from the start, but not before the old runs are over: a task would run twice at once.
-func TestSecondComingWaitsForTheFirstToBeOver(t *testing.T) {
-	w := newWorld(t, 2)
-	w.submit(w.newJob("j", 2))
-	w.Abandon(w.now, "j")
-	again := w.submit(w.newJob("j", 2))
-	w.Expect(w.orders()).To(Equal(2))
-	w.end(1, w.sent()[1][0].Seq, wire.EndStopped, 0)
-	w.Expect(w.orders()).To(Equal(2))
-	w.end(2, w.sent()[2][0].Seq, wire.EndStopped, 0)
-	w.Expect(w.orders()).To(Equal(4))
-	w.Expect(again.got).To(BeEmpty())
-	for id, list := range w.sent() {
-		w.Expect(list[1].Run).To(BeNumerically(">", list[0].Run), "agent %d", id)
+// Guards against a task that runs twice at once: a job is sent again to the same entry while
+// its earlier runs are being stopped. It runs from the start, but only once those are over.
+func TestResubmittedJobWaitsForEarlierRunsToEnd(t *testing.T) {
+	h := newHarness(t, 2)
+	h.submit(h.newJob("j", 2))
+	h.Abandon(h.now, "j")
+	again := h.submit(h.newJob("j", 2))
+	h.Expect(h.orderCount()).To(Equal(2))
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndStopped, 0)
+	h.Expect(h.orderCount()).To(Equal(2))
+	h.reportOutcome(2, h.sentOrders()[2][0].Seq, wire.EndStopped, 0)
+	h.Expect(h.orderCount()).To(Equal(4))
+	h.Expect(again.answers).To(BeEmpty())
+	for id, list := range h.sentOrders() {
+		h.Expect(list[1].Run).To(BeNumerically(">", list[0].Run), "agent %d", id)
 	}
 }
 
-// A copy of a request comes seconds after its answer. It gets the same answer and
-// nothing runs again.
-func TestCopyGetsTheAnswerOfTheFirst(t *testing.T) {
-	w := newWorld(t, 1)
-	w.submit(w.newJob("j", 1))
-	w.end(1, w.sent()[1][0].Seq, wire.EndDone, 0)
-	w.pass(3 * time.Second)
-	again := w.submit(w.newJob("j", 1))
-	w.Expect(again.got).To(ConsistOf(HaveField("Kind", AnswerComplete)))
-	w.Expect(w.orders()).To(Equal(1))
+// Guards against a job that runs again because a copy of its request arrives seconds after
+// the answer. The copy gets the same answer.
+func TestDuplicateRequestGetsTheSameAnswer(t *testing.T) {
+	h := newHarness(t, 1)
+	h.submit(h.newJob("j", 1))
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndDone, 0)
+	h.advance(3 * time.Second)
+	again := h.submit(h.newJob("j", 1))
+	h.Expect(again.answers).To(ConsistOf(HaveField("Kind", AnswerComplete)))
+	h.Expect(h.orderCount()).To(Equal(1))
 }
 
-// The host that runs a task is lost. The caller is told at once that the outcome is
-// unknown, and when it asks again, the job starts only after the lease of the lost
-// run is surely over.
-func TestLostHostKeepsTheJobFromStartingBesideItself(t *testing.T) {
-	w := newWorld(t, 2)
-	a := w.submit(w.newJob("j", 1))
+// Guards against a task that runs twice at once after its host is lost. The caller is
+// answered immediately with an unknown outcome. When it sends the job again, the job starts
+// only after the lease of the lost run has certainly expired.
+func TestResubmittedJobWaitsForTheLeaseOfALostHost(t *testing.T) {
+	h := newHarness(t, 2)
+	caller := h.submit(h.newJob("j", 1))
 	lost := ConnID(1)
-	if len(w.sent()[1]) == 0 {
+	if len(h.sentOrders()[1]) == 0 {
 		lost = 2
 	}
-	w.Disconnect(w.now, lost)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
-	w.submit(w.newJob("j", 1))
-	w.pass(900 * time.Millisecond)
-	w.Expect(w.orders()).To(Equal(1))
-	w.pass(300 * time.Millisecond)
-	w.Expect(w.orders()).To(Equal(2))
+	h.Disconnect(h.now, lost)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
+	h.submit(h.newJob("j", 1))
+	h.advance(900 * time.Millisecond)
+	h.Expect(h.orderCount()).To(Equal(1))
+	h.advance(300 * time.Millisecond)
+	h.Expect(h.orderCount()).To(Equal(2))
 }
 
-// A target leaves or stops answering. Nothing new goes there from the moment its agent
-// has said so.
-func TestNothingGoesToATargetThatIsAway(t *testing.T) {
+// Guards against orders to a target after its agent has reported that it is leaving, down
+// or shunned.
+func TestNothingIsPlacedOnAnUnavailableTarget(t *testing.T) {
 	for name, change := range map[string]func(*wire.Load){
 		"leaving": func(l *wire.Load) { l.Leaving = true },
 		"down":    func(l *wire.Load) { l.Down = true },
 		"shunned": func(l *wire.Load) { l.Shunned = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 2)
-			l := w.idle()
+			h := newHarness(t, 2)
+			l := h.idleLoad()
 			change(l)
-			w.load(1, l)
-			w.submit(w.newJob("j", 4))
-			w.Expect(w.sent()[1]).To(BeEmpty())
-			w.Expect(w.sent()[2]).To(HaveLen(4))
+			h.setLoad(1, l)
+			h.submit(h.newJob("j", 4))
+			h.Expect(h.sentOrders()[1]).To(BeEmpty())
+			h.Expect(h.sentOrders()[2]).To(HaveLen(4))
 		})
 	}
 }
 
-// A task may need a label, and a step may allow one task a target. A job that no target
-// can hold is refused at once.
-func TestTasksGoWhereTheyMay(t *testing.T) {
-	w := newWorld(t, 3)
-	w.Receive(w.now, 2, &wire.LeasedToEntry{Target: &wire.LeasedTarget{Name: "tb", Service: "s", Labels: []string{"big"},
+// Guards the constraints of placement: a required label, a limit of one task per target, and
+// the capacity. A job that no target can hold is refused immediately.
+func TestPlacementHonoursConstraints(t *testing.T) {
+	h := newHarness(t, 3)
+	h.Receive(h.now, 2, &wire.LeasedToEntry{Target: &wire.LeasedTarget{Name: "tb", Service: "s", Labels: []string{"big"},
 		Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000}}})
-	j := w.newJob("label", 2)
+	j := h.newJob("label", 2)
 	j.Steps[0].Label = "big"
-	w.submit(j)
-	w.Expect(w.sent()[2]).To(HaveLen(2))
-	j = w.newJob("apart", 3)
+	h.submit(j)
+	h.Expect(h.sentOrders()[2]).To(HaveLen(2))
+	j = h.newJob("apart", 3)
 	j.Steps[0].MaxPerTarget = 1
-	w.submit(j)
-	w.Expect(w.sent()[1]).To(HaveLen(1))
-	w.Expect(w.sent()[3]).To(HaveLen(1))
-	j = w.newJob("large", 1)
+	h.submit(j)
+	h.Expect(h.sentOrders()[1]).To(HaveLen(1))
+	h.Expect(h.sentOrders()[3]).To(HaveLen(1))
+	j = h.newJob("large", 1)
 	j.Steps[0].Demand.CPUMilli = 11_000
-	w.Expect(w.submit(j).got).To(ConsistOf(HaveField("Fault.Code", fault.NeverRunnable)))
+	h.Expect(h.submit(j).answers).To(ConsistOf(HaveField("Fault.Code", fault.NeverRunnable)))
 }
 
-// A step begins when the steps before it are done.
-func TestStepsFollowEachOther(t *testing.T) {
-	w := newWorld(t, 1)
-	j := w.newJob("j", 1)
+// Guards against a step that starts before the steps that it depends on are done, or not at
+// all.
+func TestStepStartsAfterItsDependencies(t *testing.T) {
+	h := newHarness(t, 1)
+	j := h.newJob("j", 1)
 	j.Steps = append(j.Steps, Step{Count: 1, Demand: job.Demand{CPUMilli: 1000}, Estimate: 50 * time.Millisecond, DependsOn: []int{0}})
-	a := w.submit(j)
-	w.Expect(w.orders()).To(Equal(1))
-	w.end(1, w.sent()[1][0].Seq, wire.EndDone, 0)
-	w.Expect(w.sent()[1]).To(HaveLen(2))
-	w.Expect(w.sent()[1][1].Step).To(Equal(1))
-	w.end(1, w.sent()[1][1].Seq, wire.EndDone, 0)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerComplete)))
+	caller := h.submit(j)
+	h.Expect(h.orderCount()).To(Equal(1))
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndDone, 0)
+	h.Expect(h.sentOrders()[1]).To(HaveLen(2))
+	h.Expect(h.sentOrders()[1][1].Step).To(Equal(1))
+	h.reportOutcome(1, h.sentOrders()[1][1].Seq, wire.EndDone, 0)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerComplete)))
 }
 
-// One entry sends many jobs within the few milliseconds in which its loads are old. It
-// counts in what it sent itself, or all of it would go to the one target that looked
-// best.
+// Guards against jobs that all go to the one target that looked best: an entry places many
+// within the few milliseconds in which its loads are out of date. It must subtract its own
+// orders that the loads do not include yet.
 func TestOwnOrdersCountBeforeTheLoadShowsThem(t *testing.T) {
-	w := newWorld(t, 4)
+	h := newHarness(t, 4)
 	for i := range 4 {
-		w.submit(w.newJob(string(rune('a'+i)), 2))
+		h.submit(h.newJob(string(rune('a'+i)), 2))
 	}
 	for id := ConnID(1); id <= 4; id++ {
-		w.Expect(w.sent()[id]).To(HaveLen(2), "agent %d", id)
+		h.Expect(h.sentOrders()[id]).To(HaveLen(2), "agent %d", id)
 	}
 }
 
-// An entry that leaves finishes what it has and refuses what is new, truthfully.
+// Guards the drain of an entry: it completes the jobs that it has and refuses new ones as
+// not run.
 func TestDrainRefusesNewJobs(t *testing.T) {
-	w := newWorld(t, 1)
-	a := w.submit(w.newJob("old", 1))
-	w.Drain()
-	w.Expect(w.submit(w.newJob("new", 1)).got).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Draining))))
-	w.end(1, w.sent()[1][0].Seq, wire.EndDone, 0)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerComplete)))
+	h := newHarness(t, 1)
+	caller := h.submit(h.newJob("old", 1))
+	h.Drain()
+	h.Expect(h.submit(h.newJob("new", 1)).answers).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Draining))))
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndDone, 0)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerComplete)))
 }
 
-// A caller stops waiting. The job ends with it, and its work is called back.
-func TestJobEndsWithItsCallersTime(t *testing.T) {
-	w := newWorld(t, 1)
-	a := w.submit(w.newJob("j", 1))
-	w.pass(2 * time.Second)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
-	w.Expect(w.out.recalls[1]).To(HaveLen(1))
+// Guards against work that continues past the deadline of its caller.
+func TestJobEndsAtTheCallersDeadline(t *testing.T) {
+	h := newHarness(t, 1)
+	caller := h.submit(h.newJob("j", 1))
+	h.advance(2 * time.Second)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
+	h.Expect(h.out.recalls[1]).To(HaveLen(1))
 }
 
-// A task stands still on a target that answers all calls. Its caller used to wait until
-// its own time was over, with everything else done. The task is stopped and runs
-// elsewhere; it is never started there before the stop is reported.
+// Guards against a task that makes no progress on a target that answers all calls: its caller
+// would wait until its deadline with everything else done. The task is stopped and runs
+// elsewhere, but does not start there before the stop is reported.
 func TestOverdueTaskRunsElsewhere(t *testing.T) {
-	w := newWorld(t, 2)
-	a := w.submit(w.newJob("j", 1))
-	at := ConnID(1)
-	if len(w.sent()[1]) == 0 {
-		at = 2
+	h := newHarness(t, 2)
+	caller := h.submit(h.newJob("j", 1))
+	placedOn := ConnID(1)
+	if len(h.sentOrders()[1]) == 0 {
+		placedOn = 2
 	}
-	l := w.idle()
+	l := h.idleLoad()
 	l.Shunned, l.Seen = true, 1
-	w.load(at, l)
+	h.setLoad(placedOn, l)
 	for range 20 {
-		w.pass(20 * time.Millisecond)
+		h.advance(20 * time.Millisecond)
 	}
-	w.Expect(w.out.recalls[at]).To(HaveLen(1))
-	w.Expect(w.orders()).To(Equal(1))
-	w.end(at, w.sent()[at][0].Seq, wire.EndStopped, 0)
-	other := 3 - at
-	w.Expect(w.sent()[other]).To(HaveLen(1))
-	w.end(other, w.sent()[other][0].Seq, wire.EndDone, 0)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerComplete)))
+	h.Expect(h.out.recalls[placedOn]).To(HaveLen(1))
+	h.Expect(h.orderCount()).To(Equal(1))
+	h.reportOutcome(placedOn, h.sentOrders()[placedOn][0].Seq, wire.EndStopped, 0)
+	other := 3 - placedOn
+	h.Expect(h.sentOrders()[other]).To(HaveLen(1))
+	h.reportOutcome(other, h.sentOrders()[other][0].Seq, wire.EndDone, 0)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerComplete)))
 }
 
-// The same, too late for anything else. The caller is told at once, not when its own time
-// is over.
-func TestOverdueTaskEndsItsJob(t *testing.T) {
-	w := newWorld(t, 1)
-	a := w.submit(w.newJob("j", 1))
+// Guards against a caller that waits until its deadline for an overdue task that can no
+// longer end in time elsewhere.
+func TestJobWithOverdueTaskIsGivenUpWhenTooLate(t *testing.T) {
+	h := newHarness(t, 1)
+	caller := h.submit(h.newJob("j", 1))
 	for range 40 {
-		w.pass(20 * time.Millisecond)
+		h.advance(20 * time.Millisecond)
 	}
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
 
-// One task of a job comes back late while another is at work. Given up, the job would
-// have run in part for nothing and its caller, who can't be told "not run", would send it
-// again. It is finished late, behind everything that can still be in time.
+// Guards against giving up a job of which one task is returned as late while another runs:
+// the work done would be wasted, and the caller, which can't be answered "not run", would
+// send it again. It is finished late, after all tasks that can still be in time.
 func TestJobThatBeganIsFinishedLate(t *testing.T) {
-	w := newWorld(t, 2)
-	busy := w.idle()
-	busy.WaitMs = w.full(200).WaitMs
-	w.load(1, busy)
-	w.load(2, w.full(30))
-	j := w.newJob("j", 3)
-	a := w.submit(j)
-	w.Expect(w.sent()[1]).To(HaveLen(2), "there is room for two")
-	w.now = w.now.Add(150 * time.Millisecond)
-	w.end(2, w.sent()[2][0].Seq, wire.EndNotRun, wire.NotRunLate)
-	w.Expect(a.got).To(BeEmpty())
-	w.Expect(w.orders()).To(Equal(4))
-	last := w.sent()[1][len(w.sent()[1])-1]
-	if len(w.sent()[1]) == 2 {
-		last = w.sent()[2][1]
+	h := newHarness(t, 2)
+	busy := h.idleLoad()
+	busy.WaitMs = h.fullLoad(200).WaitMs
+	h.setLoad(1, busy)
+	h.setLoad(2, h.fullLoad(30))
+	j := h.newJob("j", 3)
+	caller := h.submit(j)
+	h.Expect(h.sentOrders()[1]).To(HaveLen(2), "there is capacity for two")
+	h.now = h.now.Add(150 * time.Millisecond)
+	h.reportOutcome(2, h.sentOrders()[2][0].Seq, wire.EndNotRun, wire.NotRunLate)
+	h.Expect(caller.answers).To(BeEmpty())
+	h.Expect(h.orderCount()).To(Equal(4))
+	last := h.sentOrders()[1][len(h.sentOrders()[1])-1]
+	if len(h.sentOrders()[1]) == 2 {
+		last = h.sentOrders()[2][1]
 	}
-	w.Expect(last.SlackMs).To(BeNumerically(">", 300), "it waits behind what is in time")
+	h.Expect(last.SlackMs).To(BeNumerically(">", 300), "it waits behind tasks that can be in time")
 }
 
-// A target goes away the moment after a job was placed. What had not begun there comes
-// back and runs elsewhere; the job used to be given up although nothing of it had run.
-func TestOrdersOnTheirWayToALostTargetRunElsewhere(t *testing.T) {
-	w := newWorld(t, 2)
-	a := w.submit(w.newJob("j", 1))
-	at := ConnID(1)
-	if len(w.sent()[1]) == 0 {
-		at = 2
+// Guards against a job that is given up although no task of it has run: its target goes down
+// just after the placement. Orders that had not started are returned and run elsewhere.
+func TestOrdersInFlightToALostTargetRunElsewhere(t *testing.T) {
+	h := newHarness(t, 2)
+	caller := h.submit(h.newJob("j", 1))
+	placedOn := ConnID(1)
+	if len(h.sentOrders()[1]) == 0 {
+		placedOn = 2
 	}
-	down := w.idle()
+	down := h.idleLoad()
 	down.Down = true
-	w.load(at, down)
-	w.Expect(a.got).To(BeEmpty())
-	w.end(at, w.sent()[at][0].Seq, wire.EndNotRun, wire.NotRunDown)
-	w.Expect(w.sent()[3-at]).To(HaveLen(1))
-	w.pass(2 * downWait)
-	w.Expect(a.got).To(BeEmpty())
+	h.setLoad(placedOn, down)
+	h.Expect(caller.answers).To(BeEmpty())
+	h.reportOutcome(placedOn, h.sentOrders()[placedOn][0].Seq, wire.EndNotRun, wire.NotRunDown)
+	h.Expect(h.sentOrders()[3-placedOn]).To(HaveLen(1))
+	h.advance(2 * maxReturnWait)
+	h.Expect(caller.answers).To(BeEmpty())
 }
 
-// A task was at work on a target that went away. Its caller is told soon, not when the
-// lease of the lost run is over.
-func TestJobAtWorkOnALostTargetIsGivenUp(t *testing.T) {
-	w := newWorld(t, 1)
-	a := w.submit(w.newJob("j", 1))
-	down := w.idle()
+// Guards against a caller that waits for the lease of a lost run to expire: a task was
+// running on a target that went down.
+func TestJobRunningOnALostTargetIsGivenUp(t *testing.T) {
+	h := newHarness(t, 1)
+	caller := h.submit(h.newJob("j", 1))
+	down := h.idleLoad()
 	down.Down = true
-	w.load(1, down)
-	w.pass(2 * downWait)
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
+	h.setLoad(1, down)
+	h.advance(2 * maxReturnWait)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
 
-// A job comes to a second entry while a run of its first owner is still being stopped, and
-// the agent beside that run says so. Placed on another target, the task would run twice at
-// once: a paper is billed twice.
-func TestTaskWithARunThatIsNotOverGoesNowhere(t *testing.T) {
-	w := newWorld(t, 2)
-	a := w.submit(w.newJob("j", 1))
-	at := ConnID(1)
-	if len(w.sent()[1]) == 0 {
-		at = 2
+// Guards against a task that runs twice at once, so that a paper is billed twice: a job
+// reaches a second entry while a run for its first owner is still being stopped. The agent
+// reports that run, and the task must not be placed on another target.
+func TestTaskWithAnEarlierRunIsNotPlacedElsewhere(t *testing.T) {
+	h := newHarness(t, 2)
+	caller := h.submit(h.newJob("j", 1))
+	placedOn := ConnID(1)
+	if len(h.sentOrders()[1]) == 0 {
+		placedOn = 2
 	}
-	w.end(at, w.sent()[at][0].Seq, wire.EndNotRun, wire.NotRunBusy)
-	w.Expect(w.orders()).To(Equal(1))
-	w.Expect(a.got).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
+	h.reportOutcome(placedOn, h.sentOrders()[placedOn][0].Seq, wire.EndNotRun, wire.NotRunBusy)
+	h.Expect(h.orderCount()).To(Equal(1))
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
 
-// Every target is busy for a moment that most jobs can bear. The estimates of the queue
-// are off at random, so a job that is declared short is most likely a usual one, and its
-// caller wants it when a usual one is wanted. Believed as declared it is refused as
-// hopeless, though it would have been in time.
-func TestDeclaredShortIsNotHopeless(t *testing.T) {
-	w := newWorld(t, 2)
+// Guards against the refusal of a job that would have been in time. All targets are busy for
+// a time that most jobs can tolerate. The estimates of the queue have random errors, so a
+// job with a short estimate is most likely of usual length and has the objective of one.
+// By its uncorrected estimate it would be refused.
+func TestUnderestimatedJobIsNotRefused(t *testing.T) {
+	h := newHarness(t, 2)
 	declared := []time.Duration{50, 70, 100, 140, 200}
 	for i := range 200 {
-		j := w.newJob(fmt.Sprint("before-", i), 1)
+		j := h.newJob(fmt.Sprint("before-", i), 1)
 		j.Steps[0].Estimate = declared[i%len(declared)] * time.Millisecond
-		w.submit(j)
-		for id, list := range w.out.orders {
+		h.submit(j)
+		for id, list := range h.out.orders {
 			for _, order := range list {
-				idle := w.idle()
+				idle := h.idleLoad()
 				idle.Seen = order.Seq
-				w.Receive(w.now, id, &wire.LeasedToEntry{Load: idle, Outcomes: []wire.RunOutcome{{Seq: order.Seq, End: wire.EndDone, RunMs: 100}}})
+				h.Receive(h.now, id, &wire.LeasedToEntry{Load: idle, Outcomes: []wire.RunOutcome{{Seq: order.Seq, End: wire.EndDone, RunMs: 100}}})
 			}
-			delete(w.out.orders, id)
+			delete(h.out.orders, id)
 		}
 	}
-	w.load(1, w.full(75))
-	w.load(2, w.full(75))
-	j := w.newJob("short", 1)
-	j.Steps[0].Estimate = 50 * time.Millisecond // wanted within 140 ms if that were so
-	a := w.submit(j)
-	w.Expect(a.got).To(BeEmpty())
-	w.Expect(w.orders()).To(Equal(1))
+	h.setLoad(1, h.fullLoad(75))
+	h.setLoad(2, h.fullLoad(75))
+	j := h.newJob("short", 1)
+	j.Steps[0].Estimate = 50 * time.Millisecond // by this estimate, the objective would be 140 ms
+	caller := h.submit(j)
+	h.Expect(caller.answers).To(BeEmpty())
+	h.Expect(h.orderCount()).To(Equal(1))
 }
 
-// Operators add and drop queues all day long. What is remembered of each queue's estimates
-// must stay within bounds, and a queue that comes after a thousand others must be learned
-// about too: its callers would be refused for estimates that nobody corrects.
-func TestQueuesThatComeLateAreLearned(t *testing.T) {
-	w := newWorld(t, 1)
-	for i := range 3 * maxLines {
-		w.line(fmt.Sprint("queue-", i)).AddEstimate(100)
-		w.Expect(len(w.lines)).To(BeNumerically("<=", maxLines))
+// Guards against unbounded memory as operators add and remove queues, and against a queue
+// that gets no calibration because a thousand others came before it: its jobs would be
+// refused by uncorrected estimates.
+func TestCalibrationsAreBoundedAndNewQueuesGetOne(t *testing.T) {
+	h := newHarness(t, 1)
+	for i := range 3 * maxQueues {
+		h.calibration(fmt.Sprint("queue-", i)).AddEstimate(100)
+		h.Expect(len(h.calibrations)).To(BeNumerically("<=", maxQueues))
 	}
-	w.Expect(w.line("last")).To(BeIdenticalTo(w.line("last")))
+	h.Expect(h.calibration("last")).To(BeIdenticalTo(h.calibration("last")))
 }
 
-// The room that a load showed has gone to another entry's task. The task goes where there is
-// room, and after two such moves it waits: where all targets are full, moving on would cost
-// hops until it is late.
-func TestATaskThatFindsNoRoomGoesElsewhereTwice(t *testing.T) {
-	w := newWorld(t, 3)
-	a := w.submit(w.newJob("j", 1))
-	been := map[ConnID]bool{}
-	for move := range mostMoves {
+// Guards against a task that is moved until it is late. The free capacity that a load showed
+// was taken by another entry's task, so the order is returned and placed elsewhere. After
+// two such moves it waits: if all targets are full, further moves only cost hops.
+func TestTaskWithoutRoomIsMovedAtMostTwice(t *testing.T) {
+	h := newHarness(t, 3)
+	caller := h.submit(h.newJob("j", 1))
+	tried := map[ConnID]bool{}
+	for move := range maxCrowdedReturns {
 		for id := ConnID(1); id <= 3; id++ {
-			if sent := w.sent()[id]; len(sent) > 0 && !been[id] {
-				been[id] = true
-				w.Expect(sent[0].Movable).To(BeTrue(), "move %d", move)
-				w.load(id, w.full(100))
-				w.end(id, sent[0].Seq, wire.EndNotRun, wire.NotRunCrowded)
+			if sent := h.sentOrders()[id]; len(sent) > 0 && !tried[id] {
+				tried[id] = true
+				h.Expect(sent[0].Movable).To(BeTrue(), "move %d", move)
+				h.setLoad(id, h.fullLoad(100))
+				h.reportOutcome(id, sent[0].Seq, wire.EndNotRun, wire.NotRunCrowded)
 				break
 			}
 		}
 	}
-	w.Expect(w.orders()).To(Equal(1 + mostMoves))
+	h.Expect(h.orderCount()).To(Equal(1 + maxCrowdedReturns))
 	for id := ConnID(1); id <= 3; id++ {
-		w.Expect(w.sent()[id]).To(HaveLen(1))
-		if !been[id] {
-			w.Expect(w.sent()[id][0].Movable).To(BeFalse())
+		h.Expect(h.sentOrders()[id]).To(HaveLen(1))
+		if !tried[id] {
+			h.Expect(h.sentOrders()[id][0].Movable).To(BeFalse())
 		}
 	}
-	w.Expect(a.got).To(BeEmpty())
+	h.Expect(caller.answers).To(BeEmpty())
 }
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -11,30 +11,31 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// maxLines bounds the queues that are remembered: 140 teams with a few queues each. Queues
-// come and go with configurations, so at the bound all are forgotten; those in use are
-// known again after some tens of tasks.
-const maxLines = 1024
+// maxQueues limits the queues with a calibration or a margin. It suffices for 140 teams with
+// a few queues each. Because queues are added and removed by configurations, all entries
+// are dropped at the limit; a queue in use is calibrated again after some tens of tasks.
+const maxQueues = 1024
 
-// line returns what is known of a queue's estimates.
-func (c *Core) line(queue string) *calibration.Regression {
-	line := c.lines[queue]
-	if line != nil {
-		return line
+// calibration returns the correction of a queue's estimates, and creates it if needed.
+func (c *Core) calibration(queue string) *calibration.Regression {
+	cal := c.calibrations[queue]
+	if cal != nil {
+		return cal
 	}
-	if len(c.lines) >= maxLines {
-		clear(c.lines)
+	if len(c.calibrations) >= maxQueues {
+		clear(c.calibrations)
 	}
-	line = &calibration.Regression{}
-	c.lines[queue] = line
-	return line
+	cal = &calibration.Regression{}
+	c.calibrations[queue] = cal
+	return cal
 }
 
-// margin returns how much earlier than their limit jobs of a queue must be predicted to end.
+// margin returns the admission margin of a queue, and creates it if needed. It states how
+// much earlier than their limit jobs that must wait have to be predicted to end.
 func (c *Core) margin(q *routing.Queue) *headroom.Margin {
 	m := c.margins[q.Name]
 	if m == nil {
-		if len(c.margins) >= maxLines {
+		if len(c.margins) >= maxQueues {
 			clear(c.margins)
 		}
 		m = &headroom.Margin{}
@@ -44,40 +45,43 @@
 	return m
 }
 
-// ended learns from the answer to a job that was let in whether predictions hold. What failed, was
-// lost with a host or was left by its caller tells nothing of that.
-func (c *Core) ended(l *liveJob, answer Answer) {
+// updateMargins adjusts the margins of all queues by the answer to an admitted job: whether
+// it was in time, or late or given up for lack of time. Jobs that failed, lost their host
+// or were abandoned by their caller are ignored, because they say nothing about the
+// accuracy of predictions.
+func (c *Core) updateMargins(l *liveJob, answer Answer) {
 	late := answer.Kind == AnswerComplete && c.now.After(l.objective)
 	givenUp := answer.Fault != nil && (answer.Fault.Code == fault.Overloaded || answer.Fault.Code == fault.DeadlineExceeded)
 	if answer.Kind != AnswerComplete && !givenUp {
 		return
 	}
-	c.margin(l.Queue) // there is one from now on
+	c.margin(l.Queue) // ensures that the queue has a margin
 	for _, m := range c.margins {
 		m.RecordOutcome(c.now, l.Queue.Priority, late || givenUp)
 	}
 }
 
-// calibrated returns the job with its estimates corrected by what those of its queue
-// were worth before. The job itself stays as it was sent.
+// calibrated returns a copy of the job with its estimates corrected by the calibration of
+// its queue. The estimates as submitted are added to the calibration.
 func (c *Core) calibrated(j *Job) *Job {
-	line := c.line(j.Queue.Name)
+	cal := c.calibration(j.Queue.Name)
 	corrected := *j
 	corrected.Steps = slices.Clone(j.Steps)
 	for i := range corrected.Steps {
 		s := &corrected.Steps[i]
 		declaredMs := clock.Millis(s.Estimate)
-		line.AddEstimate(declaredMs)
-		s.Estimate = clock.FromMillis(line.ExpectedMs(declaredMs))
+		cal.AddEstimate(declaredMs)
+		s.Estimate = clock.FromMillis(cal.ExpectedMs(declaredMs))
 	}
 	return &corrected
 }
 
-// learn takes how long a task took, reckoned back to a target of speed 1.
-func (c *Core) learn(at *attempt, out *wire.RunOutcome, a *agent) {
+// learnRunTime adds the run time of a completed task, converted to a target of speed 1, to
+// the calibration of its queue.
+func (c *Core) learnRunTime(at *attempt, out *wire.RunOutcome, a *agent) {
 	if out.End != wire.EndDone {
 		return
 	}
-	declaredMs := clock.Millis(at.job.asSent.Steps[at.task.step].Estimate)
-	c.line(at.job.Queue.Name).AddRunTime(declaredMs, out.RunMs*max(a.load.Speed, minSpeed))
+	declaredMs := clock.Millis(at.job.submitted.Steps[at.task.step].Estimate)
+	c.calibration(at.job.Queue.Name).AddRunTime(declaredMs, out.RunMs*max(a.load.Speed, minSpeed))
 }
--- a/internal/dispatch/evacuate_test.go
+++ b/internal/dispatch/evacuate_test.go
@@ -10,62 +10,62 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// twoPlaces is a world with an agent in data centre "a" and one in "b".
-func twoPlaces(t *testing.T) *world {
-	w := newWorld(t, 1)
-	w.Connect(w.now, 2, &wire.Hello{Worker: "host-b", DataCentre: "b"})
-	w.Receive(w.now, 2, &wire.LeasedToEntry{
-		Target: &wire.LeasedTarget{Name: "t-b", Service: "s", Capacity: w.idle().Free}, Load: w.idle(),
+// newTwoDataCentreHarness returns a harness with an agent in data centre "a" and one in "b".
+func newTwoDataCentreHarness(t *testing.T) *harness {
+	h := newHarness(t, 1)
+	h.Connect(h.now, 2, &wire.Hello{Worker: "host-b", DataCentre: "b"})
+	h.Receive(h.now, 2, &wire.LeasedToEntry{
+		Target: &wire.LeasedTarget{Name: "t-b", Service: "s", Capacity: h.idleLoad().Free}, Load: h.idleLoad(),
 	})
-	return w
+	return h
 }
 
 // Guards against orders to targets of an evacuated data centre.
 func TestNothingIsPlacedInAnEvacuatedDataCentre(t *testing.T) {
-	w := twoPlaces(t)
-	w.Evacuate(w.now, "a", false)
-	w.submit(w.newJob("1", 2))
-	w.Expect(w.sent()[1]).To(BeEmpty())
-	w.Expect(w.sent()[2]).To(HaveLen(2))
-	w.Evacuate(w.now, "a", true)
-	w.submit(w.newJob("2", 2))
-	w.Expect(w.sent()[1]).NotTo(BeEmpty(), "work goes there again once it is lifted")
+	h := newTwoDataCentreHarness(t)
+	h.Evacuate(h.now, "a", false)
+	h.submit(h.newJob("1", 2))
+	h.Expect(h.sentOrders()[1]).To(BeEmpty())
+	h.Expect(h.sentOrders()[2]).To(HaveLen(2))
+	h.Evacuate(h.now, "a", true)
+	h.submit(h.newJob("2", 2))
+	h.Expect(h.sentOrders()[1]).NotTo(BeEmpty(), "tasks are placed there again once the evacuation is lifted")
 }
 
-// Guards against a task that waits in an evacuated data centre and is lost or late: it goes
-// elsewhere in the moment in which it comes back.
-func TestTaskThatComesBackFromAnEvacuatedDataCentreGoesElsewhere(t *testing.T) {
-	w := twoPlaces(t)
-	w.load(2, w.full(1000))
-	caller := w.submit(w.newJob("1", 1))
-	w.Expect(w.sent()[1]).To(HaveLen(1))
-	w.load(2, w.idle())
-	w.Evacuate(w.now, "a", false)
-	w.end(1, 1, wire.EndNotRun, wire.NotRunEvacuated)
-	w.Expect(w.sent()[2]).To(HaveLen(1))
-	w.end(2, 1, wire.EndDone, wire.NotRunNone)
-	w.Expect(caller.got).To(ConsistOf(HaveField("Kind", AnswerComplete)))
+// Guards against a task that waits in an evacuated data centre and is lost or late. It is
+// placed elsewhere as soon as its agent returns it.
+func TestTaskReturnedFromAnEvacuatedDataCentreIsPlacedElsewhere(t *testing.T) {
+	h := newTwoDataCentreHarness(t)
+	h.setLoad(2, h.fullLoad(1000))
+	caller := h.submit(h.newJob("1", 1))
+	h.Expect(h.sentOrders()[1]).To(HaveLen(1))
+	h.setLoad(2, h.idleLoad())
+	h.Evacuate(h.now, "a", false)
+	h.reportOutcome(1, 1, wire.EndNotRun, wire.NotRunEvacuated)
+	h.Expect(h.sentOrders()[2]).To(HaveLen(1))
+	h.reportOutcome(2, 1, wire.EndDone, wire.NotRunNone)
+	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerComplete)))
 }
 
-// Guards against a caller that waits until its deadline, or is told something else, while
-// there is no data centre in which its job may run.
+// Guards against a caller that waits until its deadline, or gets another fault, while its job
+// may run in no data centre.
 func TestJobIsRefusedAtOnceWhereEverythingIsEvacuated(t *testing.T) {
-	w := twoPlaces(t)
-	w.Evacuate(w.now, "a", false)
-	w.Evacuate(w.now, "b", false)
-	caller := w.submit(w.newJob("1", 1))
-	w.Expect(caller.got).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Evacuated),
+	h := newTwoDataCentreHarness(t)
+	h.Evacuate(h.now, "a", false)
+	h.Evacuate(h.now, "b", false)
+	caller := h.submit(h.newJob("1", 1))
+	h.Expect(caller.answers).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Evacuated),
 		HaveField("RetryAfter", BeNumerically(">", time.Second)))))
-	w.Expect(w.UsableAgents()).To(Equal(2), "the entry can serve as soon as one is lifted")
+	h.Expect(h.UsableAgents()).To(Equal(2), "the entry can serve as soon as one evacuation is lifted")
 }
 
-// Guards against an entry that reckons with the room of an evacuated data centre and lets in
-// what can only be late.
-func TestRoomOfAnEvacuatedDataCentreIsNotCounted(t *testing.T) {
-	w := twoPlaces(t)
-	w.load(2, w.full(1000))
-	w.Evacuate(w.now, "a", false)
-	caller := w.submit(w.newJob("1", 1))
-	w.Expect(caller.got).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Overloaded))))
-	w.Expect(w.orders()).To(BeZero())
+// Guards against an entry that counts the capacity of an evacuated data centre and therefore
+// admits jobs that can only be late.
+func TestCapacityOfAnEvacuatedDataCentreIsNotCounted(t *testing.T) {
+	h := newTwoDataCentreHarness(t)
+	h.setLoad(2, h.fullLoad(1000))
+	h.Evacuate(h.now, "a", false)
+	caller := h.submit(h.newJob("1", 1))
+	h.Expect(caller.answers).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Overloaded))))
+	h.Expect(h.orderCount()).To(BeZero())
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -12,6 +12,7 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
+// fakeOutbox records the orders, recalls and closed sessions.
 type fakeOutbox struct {
 	orders  map[ConnID][]wire.Order
 	recalls map[ConnID][]uint64
@@ -24,39 +25,41 @@
 }
 func (f *fakeOutbox) Close(id ConnID) { f.closed = append(f.closed, id) }
 
-// world is a core with agents whose targets have ten cores each.
-type world struct {
+// harness is a Core with agents whose targets have ten cores each, and a fake clock.
+type harness struct {
 	*WithT
 	*Core
 	out *fakeOutbox
 	now time.Time
 }
 
-func newWorld(t *testing.T, agents int) *world {
-	w := &world{WithT: NewWithT(t), now: time.Unix(1_800_000_000, 0),
+func newHarness(t *testing.T, agents int) *harness {
+	h := &harness{WithT: NewWithT(t), now: time.Unix(1_800_000_000, 0),
 		out: &fakeOutbox{orders: map[ConnID][]wire.Order{}, recalls: map[ConnID][]uint64{}}}
-	w.Core = New(Options{Log: logr.Discard(), Outbox: w.out, DataCentre: "a", LeaseLimit: time.Second, RemoteFactor: 1.5,
-		Now: func() time.Time { return w.now }})
+	h.Core = New(Options{Log: logr.Discard(), Outbox: h.out, DataCentre: "a", LeaseLimit: time.Second, RemoteFactor: 1.5,
+		Now: func() time.Time { return h.now }})
 	for i := range agents {
-		w.connect(ConnID(i + 1))
+		h.connect(ConnID(i + 1))
 	}
-	return w
+	return h
 }
 
-func (w *world) connect(id ConnID) {
-	w.Connect(w.now, id, &wire.Hello{Worker: string(rune('a' + id)), DataCentre: "a"})
-	w.Receive(w.now, id, &wire.LeasedToEntry{
+// connect opens a session with an agent whose target is idle.
+func (h *harness) connect(id ConnID) {
+	h.Connect(h.now, id, &wire.Hello{Worker: string(rune('a' + id)), DataCentre: "a"})
+	h.Receive(h.now, id, &wire.LeasedToEntry{
 		Target: &wire.LeasedTarget{Name: "t" + string(rune('a'+id)), Service: "s", Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000}},
-		Load:   w.idle(),
+		Load:   h.idleLoad(),
 	})
 }
 
-func (w *world) idle() *wire.Load {
+func (h *harness) idleLoad() *wire.Load {
 	return &wire.Load{Free: job.Demand{CPUMilli: 10_000, MemoryMB: 1000}, Speed: 1}
 }
 
-// full is the load of a target without room, on which a new task waits.
-func (w *world) full(waitMs float64) *wire.Load {
+// fullLoad returns the load of a target without free capacity, on which a new task waits
+// waitMs.
+func (h *harness) fullLoad(waitMs float64) *wire.Load {
 	l := &wire.Load{Speed: 1, Seen: 1 << 40}
 	for i := range l.WaitMs {
 		l.WaitMs[i] = waitMs
@@ -64,46 +67,49 @@
 	return l
 }
 
-func (w *world) load(id ConnID, l *wire.Load) { w.Receive(w.now, id, &wire.LeasedToEntry{Load: l}) }
+func (h *harness) setLoad(id ConnID, l *wire.Load) {
+	h.Receive(h.now, id, &wire.LeasedToEntry{Load: l})
+}
 
 var queue = &routing.Queue{Name: "q", Service: "s", EnforcesCapacity: true, MaxAttempts: 2, Stretch: 1.6, LatencyAllowance: 60 * time.Millisecond}
 
-// newJob is a job of tasks of 4 cores and 100 ms; its caller wants it in 220 ms and
-// waits for 2 s.
-func (w *world) newJob(id string, tasks int) *Job {
-	return &Job{ID: id, Queue: queue, Spec: "x", Deadline: w.now.Add(2 * time.Second),
+// newJob returns a job of tasks of 4 cores and 100 ms. Its objective is 220 ms, and its
+// caller waits for 2 s.
+func (h *harness) newJob(id string, tasks int) *Job {
+	return &Job{ID: id, Queue: queue, Spec: "x", Deadline: h.now.Add(2 * time.Second),
 		Steps: []Step{{Count: tasks, Demand: job.Demand{CPUMilli: 4000}, Estimate: 100 * time.Millisecond}}}
 }
 
-// answers keeps what a caller is told.
-type answers struct{ got []Answer }
+// recorder records the answers that a caller gets.
+type recorder struct{ answers []Answer }
 
-func (a *answers) take(answer Answer) { a.got = append(a.got, answer) }
+func (a *recorder) record(answer Answer) { a.answers = append(a.answers, answer) }
 
-func (w *world) submit(j *Job) *answers {
-	a := &answers{}
-	w.Submit(w.now, j, a.take)
-	w.Flush()
+func (h *harness) submit(j *Job) *recorder {
+	a := &recorder{}
+	h.Submit(h.now, j, a.record)
+	h.Flush()
 	return a
 }
 
-func (w *world) end(id ConnID, seq uint64, end wire.RunEnd, reason wire.NotRunReason) {
-	w.Receive(w.now, id, &wire.LeasedToEntry{Outcomes: []wire.RunOutcome{{Seq: seq, End: end, Reason: reason}}})
-	w.Flush()
+func (h *harness) reportOutcome(id ConnID, seq uint64, end wire.RunEnd, reason wire.NotRunReason) {
+	h.Receive(h.now, id, &wire.LeasedToEntry{Outcomes: []wire.RunOutcome{{Seq: seq, End: end, Reason: reason}}})
+	h.Flush()
 }
 
-func (w *world) pass(d time.Duration) {
-	w.now = w.now.Add(d)
-	w.Tick(w.now)
-	w.Flush()
+// advance moves the clock forward and runs a tick.
+func (h *harness) advance(d time.Duration) {
+	h.now = h.now.Add(d)
+	h.Tick(h.now)
+	h.Flush()
 }
 
-// sent returns all orders, by agent and number.
-func (w *world) sent() map[ConnID][]wire.Order { return w.out.orders }
+// sentOrders returns all orders sent, by agent, in the order of their sequence numbers.
+func (h *harness) sentOrders() map[ConnID][]wire.Order { return h.out.orders }
 
-func (w *world) orders() int {
+func (h *harness) orderCount() int {
 	n := 0
-	for _, list := range w.out.orders {
+	for _, list := range h.out.orders {
 		n += len(list)
 	}
 	return n
--- a/internal/dispatch/headroom_test.go
+++ b/internal/dispatch/headroom_test.go
@@ -8,34 +8,35 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// empty is the load of a target on which nothing is left of what was sent.
-func (w *world) empty() *wire.Load {
-	l := w.idle()
+// emptyLoad returns the load of a target on which all orders sent so far have ended.
+func (h *harness) emptyLoad() *wire.Load {
+	l := h.idleLoad()
 	l.Seen = 1 << 40
 	return l
 }
 
-// lateJobs lets jobs of one task come late, one after the other.
-func (w *world) lateJobs(n int) {
+// completeLate submits n jobs of one task, one after the other, and completes each of them
+// late.
+func (h *harness) completeLate(n int) {
 	for i := range n {
-		w.load(1, w.empty())
-		w.submit(w.newJob("late"+string(rune('a'+i)), 1))
-		seq := w.agents[1].nextSeq
-		w.now = w.now.Add(queue.Objective(w.newJob("", 1).Steps[0].Estimate) * 3 / 2)
-		w.end(1, seq, wire.EndDone, wire.NotRunNone)
+		h.setLoad(1, h.emptyLoad())
+		h.submit(h.newJob("late"+string(rune('a'+i)), 1))
+		seq := h.agents[1].nextSeq
+		h.now = h.now.Add(queue.Objective(h.newJob("", 1).Steps[0].Estimate) * 3 / 2)
+		h.reportOutcome(1, seq, wire.EndDone, wire.NotRunNone)
 	}
 }
 
-// Guards against an overload in which each prediction is too early: whatever is let in comes late,
-// and nobody is served. What finds room is let in nevertheless.
-func TestJobsThatMustWaitAreRefusedWhileOthersComeLate(t *testing.T) {
-	w := newWorld(t, 1)
-	w.load(1, w.full(70))
-	w.Expect(w.submit(w.newJob("before", 1)).got).To(BeEmpty())
-	w.end(1, 1, wire.EndDone, wire.NotRunNone)
-	w.lateJobs(20)
-	w.load(1, w.full(70))
-	w.Expect(w.submit(w.newJob("waits", 1)).got).To(ConsistOf(HaveField("Kind", AnswerNotRun)))
-	w.load(1, w.empty())
-	w.Expect(w.submit(w.newJob("starts", 1)).got).To(BeEmpty())
+// Guards against an overload in which each prediction is too early, so that every admitted job
+// is late and no caller is served in time. Jobs that can start at once are still admitted.
+func TestJobsThatMustWaitAreRefusedWhileOthersAreLate(t *testing.T) {
+	h := newHarness(t, 1)
+	h.setLoad(1, h.fullLoad(70))
+	h.Expect(h.submit(h.newJob("before", 1)).answers).To(BeEmpty())
+	h.reportOutcome(1, 1, wire.EndDone, wire.NotRunNone)
+	h.completeLate(20)
+	h.setLoad(1, h.fullLoad(70))
+	h.Expect(h.submit(h.newJob("waits", 1)).answers).To(ConsistOf(HaveField("Kind", AnswerNotRun)))
+	h.setLoad(1, h.emptyLoad())
+	h.Expect(h.submit(h.newJob("starts", 1)).answers).To(BeEmpty())
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -8,33 +8,33 @@
 	"github.com/camphorrack/camphorrack/internal/routing"
 )
 
-// Step is a number of like tasks of a job.
+// Step is a group of identical tasks of a job.
 type Step struct {
 	Count        int
 	Demand       job.Demand
-	Estimate     time.Duration // of one task at speed 1; rough
-	DependsOn    []int         // earlier steps that must be done first
-	Label        string        // that a target must have; empty: any
-	DataRack     string        // where its data lies; empty: anywhere
-	MaxPerTarget int           // tasks of the step on one target; 0: no bound
+	Estimate     time.Duration // run time of one task on a target of speed 1; rough
+	DependsOn    []int         // indexes of earlier steps that must be done before this one starts
+	Label        string        // label that a target must have; empty: any target
+	DataRack     string        // label of the rack with its data; empty: no preference
+	MaxPerTarget int           // limit on tasks of the step on one target; 0: no limit
 }
 
-// Job is a submission whose answer is its one record: it is not stored, its caller
-// waits for it, and asks again with the same id where the answer is lost.
+// Job is a submission. It is never stored: the caller waits for the answer, and sends
+// the job again with the same ID if the answer is lost.
 type Job struct {
 	ID            string
 	Queue         *routing.Queue
-	ConfigVersion uint64 // of the configuration that the queue is from
-	Spec          string // passed on to the target
+	ConfigVersion uint64 // version of the configuration that defines Queue
+	Spec          string // passed to the target unchanged
 	Steps         []Step
-	Timeout       time.Duration // how long the caller waits, from its request on
-	Deadline      time.Time     // when that is over, by the clock of the control state
+	Timeout       time.Duration // how long the caller waits, counted from its request
+	Deadline      time.Time     // end of Timeout, by the clock of the control state
 }
 
-// JobState is how a job stands.
+// JobState is the state of a job.
 type JobState uint8
 
-// States. Completed and Failed are final.
+// States of a job. Completed and Failed are final.
 const (
 	Queued JobState = iota + 1
 	Active
@@ -43,43 +43,43 @@
 	Cancelled
 )
 
-// AnswerKind says what an answer means.
+// AnswerKind is the outcome that an answer reports.
 type AnswerKind uint8
 
 // Kinds of answers.
 const (
-	AnswerComplete AnswerKind = iota + 1 // every task is done
-	AnswerFailed                         // a task has failed as often as it may
-	AnswerNotRun                         // nothing of the job has run or will
-	AnswerUnknown                        // given up; something of it may have run
+	AnswerComplete AnswerKind = iota + 1 // every task succeeded
+	AnswerFailed                         // a task failed the maximum number of times, or crashes its targets
+	AnswerNotRun                         // no task of the job has run or will run
+	AnswerUnknown                        // the job was given up or cancelled; some of it may have run
 )
 
-// Answer is a job's one final answer.
+// Answer is the single final answer to a job.
 type Answer struct {
 	Kind       AnswerKind
-	Fault      *fault.Fault  // for AnswerNotRun and AnswerUnknown, and AnswerFailed without a task's failures
-	RetryAfter time.Duration // for AnswerNotRun: when it is worth coming back
+	Fault      *fault.Fault  // for AnswerNotRun and AnswerUnknown, and for AnswerFailed if no task used up its attempts
+	RetryAfter time.Duration // for AnswerNotRun: how long the caller should wait before it retries
 }
 
 // AnswerFunc receives a job's answer. It is called once, on the control goroutine, and
 // must not block.
 type AnswerFunc func(Answer)
 
-// chains returns, for each step, the longest chain of estimated work from its start
-// to the end of the job, and the longest of all.
-func (j *Job) chains() (tails []time.Duration, longest time.Duration) {
-	tails = make([]time.Duration, len(j.Steps))
+// criticalPaths returns, for each step, the estimated length of the longest dependency
+// path from the start of the step to the end of the job, and the longest of all.
+func (j *Job) criticalPaths() (paths []time.Duration, longest time.Duration) {
+	paths = make([]time.Duration, len(j.Steps))
 	for s := len(j.Steps) - 1; s >= 0; s-- {
-		tails[s] += j.Steps[s].Estimate
-		longest = max(longest, tails[s])
-		for _, before := range j.Steps[s].DependsOn {
-			tails[before] = max(tails[before], tails[s])
+		paths[s] += j.Steps[s].Estimate
+		longest = max(longest, paths[s])
+		for _, dependency := range j.Steps[s].DependsOn {
+			paths[dependency] = max(paths[dependency], paths[s])
 		}
 	}
-	return tails, longest
+	return paths, longest
 }
 
-// TaskCount returns the number of tasks.
+// TaskCount returns the number of tasks in all steps.
 func (j *Job) TaskCount() int {
 	n := 0
 	for i := range j.Steps {
@@ -91,23 +91,23 @@
 type taskState uint8
 
 const (
-	taskBlocked taskState = iota // a step before it is not done
+	taskBlocked taskState = iota // a step that it depends on is not done
 	taskWaiting
 	taskPlaced
 	taskDone
 )
 
-// task is one task of a live job.
+// task is the state of one task of a job.
 type task struct {
-	step, index int
-	state       taskState
-	attempt     *attempt // while placed
-	moves       int      // times that it came back because its target was more crowded than thought
-	failures    int
-	failedAt    []ConnID // agents on whose targets it failed
+	step, index    int
+	state          taskState
+	attempt        *attempt // the current order while placed, else nil
+	crowdedReturns int      // times it came back because its wait would have been longer than predicted
+	failures       int
+	failedAt       []ConnID // sessions of the agents on whose targets it failed
 }
 
-// attempt is one order, until its outcome is known.
+// attempt is one order for a task, until its outcome is known.
 type attempt struct {
 	seq      uint64
 	run      uint64
@@ -115,53 +115,54 @@
 	job      *liveJob
 	task     *task
 	placedAt time.Time
-	// expected is how long it was predicted to take, waiting included.
-	expected time.Duration
-	room     bool      // the target had room for it: it has begun, as far as is known
-	movedAt  time.Time // when it was called back because it takes too long
-	// overAt is when the run is over at the latest, for an attempt whose session has
-	// ended.
-	overAt time.Time
+	// expectedTime is the predicted time from the order to the end of the run, including
+	// the wait.
+	expectedTime time.Duration
+	hadRoom      bool      // the target had free capacity when it was placed, so it has presumably started
+	recalledAt   time.Time // when it was recalled as overdue; zero: it was not
+	// latestEnd is the time by which the run has certainly ended, for an attempt whose
+	// session has ended.
+	latestEnd time.Time
 }
 
-// liveJob is a job whose answer, or whose last attempt, is outstanding.
+// liveJob is the state of a job, from its admission until its kept answer expires.
 type liveJob struct {
-	*Job           // with corrected estimates
-	asSent    *Job // with the caller's own
-	arrived   time.Time
-	objective time.Time // by when the caller wants the answer
-	late      time.Time // after it, an answer is worth nothing to the caller
-	tails     []time.Duration
-	tasks     []task
-	left      []int // tasks not done, by step
-	undone    int
-	open      int // attempts without an outcome
-	mayHave   bool
-	answered  bool
-	ending    bool // given up; the answer waits for proof that nothing ran
-	endBy     time.Time
-	endFault  *fault.Fault
-	waiters   []AnswerFunc
-	runOffset uint64      // added to run numbers, where a target has seen higher ones
-	next      *pendingJob // came again while attempts of this one are open
-	last      lastTask    // of those that are done
-	answer    Answer
-	keepUntil time.Time
+	*Job               // with calibrated estimates
+	submitted     *Job // as submitted, with the caller's estimates
+	arrived       time.Time
+	objective     time.Time // time by which the caller wants the answer
+	usefulUntil   time.Time // time after which an answer has no value for the caller
+	criticalPaths []time.Duration
+	tasks         []task
+	stepTasksLeft []int // number of unfinished tasks, by step
+	unfinished    int
+	openAttempts  int // number of attempts without an outcome
+	mayHaveRun    bool
+	answered      bool
+	givingUp      bool // given up; the answer waits for proof that nothing has run
+	proofDeadline time.Time
+	giveUpFault   *fault.Fault
+	callbacks     []AnswerFunc
+	runOffset     uint64        // added to run numbers after a target has seen higher ones
+	resubmission  *resubmission // the job sent again while attempts of this one are open
+	lastDone      doneTask      // the task that finished last
+	answer        Answer
+	keepUntil     time.Time
 }
 
-// lastTask is where the time of the task went that was done last: as a rule it is what the
-// answer waited for.
-type lastTask struct {
-	at            *attempt
+// doneTask holds the timings of the task that finished last, for the log. The answer has
+// usually waited for this task.
+type doneTask struct {
+	attempt       *attempt
 	host          string
-	speed         float64 // as the agent reported it
-	waitMs, runMs float64 // in the agent's queue, and at the target
+	speed         float64 // of its target, as the agent reported it
+	waitMs, runMs float64 // times in the agent's queue and at the target
 }
 
-// pendingJob is a job that came again and waits for the runs of its first coming to
-// be over.
-type pendingJob struct {
-	job    *Job
-	waiter AnswerFunc
-	since  time.Time
+// resubmission is a job that was sent again and waits until the runs of its earlier
+// submission are over.
+type resubmission struct {
+	job      *Job
+	callback AnswerFunc
+	since    time.Time
 }
--- a/internal/dispatch/overdue.go
+++ b/internal/dispatch/overdue.go
@@ -8,63 +8,67 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// On a target where tasks stand still nothing ends and nothing fails: a job with one
-// task there is held until its caller leaves, with all its other tasks done. A task
-// that takes far longer than predicted is stopped and started elsewhere where that
-// still pays, and else its job is given up at once, so that its caller can act.
+// On a target where tasks make no progress, tasks neither end nor fail. A job with one task
+// there would wait until its caller disconnects, although all its other tasks are done.
+// Therefore a task that takes far longer than predicted is stopped and started on another
+// target if it can still end in time. Otherwise its job is given up immediately, so that
+// the caller can react.
 const (
-	// overdueFactor is how many times its predicted time a task may take. Estimates
-	// and work are each off by two fifths; were both log-normal, one task in a hundred
-	// would take four times as long for that alone.
+	// overdueFactor times the predicted time is how long a task may take. Estimates and
+	// actual work each deviate by two fifths. If both were log-normal, one task in a
+	// hundred would take four times as long for that reason alone.
 	overdueFactor = 4
-	// shunnedFactor is the same on a target of which its agent says that it stands
-	// still.
+	// shunnedFactor is the same factor for a target that its agent reports as making no
+	// progress.
 	shunnedFactor = 2
-	// overdueMargin keeps tasks of some tens of milliseconds from being stopped for one
-	// slow turn of a host.
+	// overdueMargin is added to the limit, so that tasks of some tens of milliseconds
+	// are not stopped because of one short stall of a host.
 	overdueMargin = 60 * time.Millisecond
-	// stopWait is how long the stop of an overdue task may go unreported: a stop takes
-	// 50 ms at most, and a few more where its answer is lost.
-	stopWait = 150 * time.Millisecond
+	// maxStopWait is how long the report of an overdue task's stop may take. A stop takes
+	// at most 50 ms, and a few more if its reply is lost.
+	maxStopWait = 150 * time.Millisecond
 )
 
-// moveOverdue stops the job's tasks that take too long.
-func (c *Core) moveOverdue(l *liveJob) {
-	if l.answered || l.ending {
+// recallOverdueTasks recalls the overdue tasks of the job; they are placed again once their
+// stop is reported. It gives the job up if a stop is not reported in time or another run
+// could not end in time.
+func (c *Core) recallOverdueTasks(l *liveJob) {
+	if l.answered || l.givingUp {
 		return
 	}
 	for i := range l.tasks {
 		at := l.tasks[i].attempt
-		if at == nil || at.agent == nil || !c.overdue(at) {
+		if at == nil || at.agent == nil || !c.isOverdue(at) {
 			continue
 		}
-		if !at.movedAt.IsZero() {
-			if c.now.Sub(at.movedAt) < stopWait {
+		if !at.recalledAt.IsZero() {
+			if c.now.Sub(at.recalledAt) < maxStopWait {
 				continue
 			}
 			c.giveUp(l, fault.New(fault.OutcomeUnknown, "a task of it stands still, and its stop is not reported"))
 			return
 		}
 		event.Log(c.log, event.TaskOverdue, "job", l.ID, "step", at.task.step, "task", at.task.index, "host", at.agent.host,
-			"target", at.agent.targetName(), "after_ms", clock.Millis(c.now.Sub(at.placedAt)), "expected_ms", clock.Millis(at.expected),
+			"target", at.agent.targetName(), "after_ms", clock.Millis(c.now.Sub(at.placedAt)), "expected_ms", clock.Millis(at.expectedTime),
 			"shunned", at.agent.load.Shunned, "speed", at.agent.load.Speed, "load_age_ms", clock.Millis(c.now.Sub(at.agent.loadAt)))
 		if !c.worthPlacing(l, at.task) {
-			l.mayHave = true // it was sent, and is not proved not to have begun
+			l.mayHaveRun = true // the order was sent and may have started
 			c.giveUp(l, fault.New(fault.DeadlineExceeded, "a task of it stands still, and it can't be done in time elsewhere"))
 			return
 		}
-		at.movedAt = c.now
-		l.mayHave = true // it was sent, and is not proved not to have begun
-		at.agent.out.Recalls = append(at.agent.out.Recalls, at.seq)
-		at.agent.dirty = true
+		at.recalledAt = c.now
+		l.mayHaveRun = true // the order was sent and may have started
+		at.agent.outgoing.Recalls = append(at.agent.outgoing.Recalls, at.seq)
+		at.agent.hasOutgoing = true
 		c.counts.Recalls++
 	}
 }
 
-func (c *Core) overdue(at *attempt) bool {
+// isOverdue reports whether an attempt takes far longer than predicted.
+func (c *Core) isOverdue(at *attempt) bool {
 	factor := time.Duration(overdueFactor)
 	if at.agent.load.Shunned {
 		factor = shunnedFactor
 	}
-	return c.now.Sub(at.placedAt) > factor*at.expected+overdueMargin
+	return c.now.Sub(at.placedAt) > factor*at.expectedTime+overdueMargin
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -15,77 +15,84 @@
 )
 
 const (
-	// frameBytes is what a frame takes on the link besides the bodies of its orders, orderBytes
-	// what an order takes, and answerBytes what the answer to a caller does.
+	// frameBytes is the size on the link of a frame without orders and specs, orderBytes
+	// that of an order without its spec, and answerBytes that of an answer to a caller.
 	frameBytes, orderBytes, answerBytes = 120, 80, 300
-	// runEpochMs is where run numbers begin, in Unix milliseconds: the start of 2026.
+	// runEpochMs is the Unix time in milliseconds at which run numbers start: the start
+	// of 2026.
 	runEpochMs = 1767225600000
-	// staleStep is added to a run number that a target has seen a higher one than:
-	// clocks of hosts may be some seconds apart.
-	staleStep = 10_000
-	// localHopMs and remoteHopMs are the way to an agent and back, with the time that
-	// both processes take to wake up.
+	// staleRunStep is added to a job's run numbers after a target rejected one as lower
+	// than an earlier one. The clocks of hosts may differ by some seconds.
+	staleRunStep = 10_000
+	// localHopMs and remoteHopMs are the round trip times to an agent in the same and in
+	// another data centre, including the wake-up of both processes.
 	localHopMs, remoteHopMs = 3, 6
-	// minSpeed keeps a prediction finite for a target on which nothing moves.
+	// minSpeed keeps predictions finite for a target on which no task makes progress.
 	minSpeed = 0.02
-	// usualSlackMs is how long a task that has not begun may wait beyond its slack before
-	// it comes back: the estimate that the slack was made from is rough. A longer one
-	// gives room to tasks that are late anyway.
-	usualSlackMs = 10
-	// mostMoves is how often a task may come back because it would wait longer than
-	// predicted. Other entries send work there at the same moment, and its own choice is
-	// made on a load some milliseconds old; where that has gone wrong twice, all targets
-	// are full and going on would only cost hops.
-	mostMoves = 2
+	// slackToleranceMs is how long a task may wait beyond its slack before its agent
+	// returns it unstarted. It allows for the rough estimate behind the slack. A longer
+	// time would give capacity to tasks that are late anyway.
+	slackToleranceMs = 10
+	// maxCrowdedReturns is how often a task may be returned because it would wait longer
+	// than predicted. That happens because other entries send work to the same target at
+	// the same time, and because the target is chosen by a load report that is some
+	// milliseconds old. After two such returns all targets are presumably full, and each
+	// further move would only cost hops.
+	maxCrowdedReturns = 2
 )
 
+// usable reports whether the agent has a target that accepts new orders.
 func (a *agent) usable() bool {
 	return a.target != nil && !a.load.Leaving && !a.load.Down && !a.load.Shunned
 }
 
-// view fills the candidates with the agents whose targets may run the job's tasks, and
-// returns how many it left out because their data centre is evacuated.
-func (c *Core) view(l *liveJob) (evacuated int) {
-	c.candidates, c.viewed = c.candidates[:0], c.viewed[:0]
-	linkWaitMs, firstMs := c.link.WaitMs(c.now), c.link.TransmitMs(frameBytes+len(l.Spec))
-	for _, a := range c.roster {
+// collectCandidates rebuilds candidates and candidateAgents from the usable agents of the
+// job's service. It returns how many it left out because their data centre is evacuated.
+func (c *Core) collectCandidates(l *liveJob) (evacuated int) {
+	c.candidates, c.candidateAgents = c.candidates[:0], c.candidateAgents[:0]
+	linkWaitMs, bodyTransmitMs := c.link.WaitMs(c.now), c.link.TransmitMs(frameBytes+len(l.Spec))
+	for _, a := range c.agentsByAge {
 		if !a.usable() || a.target.Service != l.Queue.Service {
 			continue
 		}
-		if _, out := c.evacuated[a.targetDataCentre()]; out {
+		if _, isEvacuated := c.evacuated[a.targetDataCentre()]; isEvacuated {
 			evacuated++
 			continue
 		}
-		c.viewed = append(c.viewed, a)
+		c.candidateAgents = append(c.candidateAgents, a)
 		cand := c.candidate(a, l)
-		cand.RoundTripMs, cand.BodyTransmitMs = cand.RoundTripMs+linkWaitMs, firstMs
+		cand.RoundTripMs, cand.BodyTransmitMs = cand.RoundTripMs+linkWaitMs, bodyTransmitMs
 		c.candidates = append(c.candidates, cand)
 	}
 	return evacuated
 }
 
-// targetDataCentre returns that of the agent's target.
+// targetDataCentre returns the data centre of the agent's target; by default it is the
+// agent's own.
 func (a *agent) targetDataCentre() string { return cmp.Or(a.target.DataCentre, a.dataCentre) }
 
+// candidate describes the agent's target for a placement: its newest load, less the orders
+// that this load does not include yet.
 func (c *Core) candidate(a *agent, l *liveJob) earliest.Candidate {
-	hop := float64(remoteHopMs)
-	if a.dataCentre == c.o.DataCentre {
-		hop = localHopMs
+	roundTripMs := float64(remoteHopMs)
+	if a.dataCentre == c.options.DataCentre {
+		roundTripMs = localHopMs
 	}
-	slack := clock.Millis(l.objective.Sub(c.now)) - clock.Millis(l.tails[0])
+	slack := clock.Millis(l.objective.Sub(c.now)) - clock.Millis(l.criticalPaths[0])
 	cand := earliest.Candidate{
-		Free: a.load.Free, Total: a.target.Capacity, WaitMs: a.load.WaitMs[horizon(slack)],
-		Speed: max(a.load.Speed, minSpeed), RoundTripMs: hop, FailureRate: a.load.FailedRate,
+		Free: a.load.Free, Total: a.target.Capacity, WaitMs: a.load.WaitMs[horizonIndex(slack)],
+		Speed: max(a.load.Speed, minSpeed), RoundTripMs: roundTripMs, FailureRate: a.load.FailedRate,
 	}
-	for i := range a.unseen {
-		cand.Reserve(a.unseen[i].task, a.unseen[i].index)
+	for i := range a.uncounted {
+		cand.Reserve(a.uncounted[i].task, a.uncounted[i].index)
 	}
 	cand.StepTasks = 0
 	return cand
 }
 
-// horizon returns the index of the prediction for a task of that slack.
-func horizon(slackMs float64) int {
+// horizonIndex returns the index in wire.Horizons of the wait prediction for a task with
+// that slack.
+func horizonIndex(slackMs float64) int {
 	for i, h := range wire.Horizons {
 		if slackMs <= h {
 			return i
@@ -94,147 +101,156 @@
 	return len(wire.Horizons) - 1
 }
 
-// spec returns a task as a placement sees it. Its functions look at the agents that
-// were viewed last.
-func (c *Core) spec(l *liveJob, t *task) earliest.Task {
+// placementTask describes a task for a placement. The functions in the result refer to
+// candidateAgents by index, so they are valid until the next collectCandidates.
+func (c *Core) placementTask(l *liveJob, t *task) earliest.Task {
 	s := &l.Steps[t.step]
-	spec := earliest.Task{
-		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate), RemainingMs: c.leftMs(l, t),
-		MaxPerTarget: s.MaxPerTarget, RemoteFactor: c.o.RemoteFactor,
+	request := earliest.Task{
+		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate), RemainingMs: c.remainingMs(l, t),
+		MaxPerTarget: s.MaxPerTarget, RemoteFactor: c.options.RemoteFactor,
 	}
 	if s.Label != "" || len(t.failedAt) > 0 {
-		spec.Fits = func(i int) bool {
-			a := c.viewed[i]
+		request.Fits = func(i int) bool {
+			a := c.candidateAgents[i]
 			return !slices.Contains(t.failedAt, a.conn) && (s.Label == "" || slices.Contains(a.target.Labels, s.Label))
 		}
 	}
 	if s.DataRack != "" {
-		spec.IsLocal = func(i int) bool { return slices.Contains(c.viewed[i].target.Labels, s.DataRack) }
+		request.IsLocal = func(i int) bool { return slices.Contains(c.candidateAgents[i].target.Labels, s.DataRack) }
 	}
-	return spec
+	return request
 }
 
-// leftMs returns the time by which the task must end for its job to be in time, or, where
-// that is past, for its answer to be worth something.
-func (c *Core) leftMs(l *liveJob, t *task) float64 {
-	behind := l.tails[t.step] - l.Steps[t.step].Estimate
-	left := l.objective.Sub(c.now) - behind
+// remainingMs returns the time from now, in milliseconds, by which the task must end so that
+// its job meets the objective. If that time is past, it returns the time by which the
+// answer still has some value.
+func (c *Core) remainingMs(l *liveJob, t *task) float64 {
+	following := l.criticalPaths[t.step] - l.Steps[t.step].Estimate
+	left := l.objective.Sub(c.now) - following
 	if left <= 0 {
-		left = l.late.Sub(c.now) - behind
+		left = l.usefulUntil.Sub(c.now) - following
 	}
 	return clock.Millis(left)
 }
 
-// placeWaiting sends an order for each waiting task of the job.
-func (c *Core) placeWaiting(l *liveJob) {
-	if c.endCrashLoop(l) {
+// placeWaitingTasks sends an order for each waiting task of the job. It gives the job up if
+// no target can take one of them.
+func (c *Core) placeWaitingTasks(l *liveJob) {
+	if c.failIfCrashLoop(l) {
 		return
 	}
-	c.view(l)
-	c.countOwn(l)
+	c.collectCandidates(l)
+	c.countOpenTasks(l)
 	placed := make([]string, 0, 8)
 	for i := range l.tasks {
 		t := &l.tasks[i]
 		if t.state != taskWaiting {
 			continue
 		}
-		spec := c.spec(l, t)
-		choice := earliest.Choose(spec, c.candidates)
+		request := c.placementTask(l, t)
+		choice := earliest.Choose(request, c.candidates)
 		if choice.Index == earliest.None && len(t.failedAt) > 0 {
-			// Every other target is away: one on which it failed is better than none.
+			// No other target is available: retry on one where the task has failed.
 			t.failedAt = nil
-			spec = c.spec(l, t)
-			choice = earliest.Choose(spec, c.candidates)
+			request = c.placementTask(l, t)
+			choice = earliest.Choose(request, c.candidates)
 		}
 		if choice.Index == earliest.None {
 			c.giveUp(l, fault.New(fault.Overloaded, "no target can take a task of it now"))
 			return
 		}
-		c.candidates[choice.Index].Reserve(spec, choice.Index)
-		a := c.viewed[choice.Index]
-		c.order(l, t, a, spec, choice)
+		c.candidates[choice.Index].Reserve(request, choice.Index)
+		a := c.candidateAgents[choice.Index]
+		c.sendOrder(l, t, a, request, choice)
 		placed = append(placed, strconv.Itoa(t.step)+"."+strconv.Itoa(t.index)+"@"+a.host)
 	}
 	if len(placed) > 0 {
 		event.Log(c.log, event.TaskPlaced, "job", l.ID, "queue", l.Queue.Name, "tasks", strings.Join(placed, " "),
-			"left_ms", clock.Millis(l.objective.Sub(c.now)), "oldest_load_ms", c.oldestLoadMs())
+			"left_ms", clock.Millis(l.objective.Sub(c.now)), "oldest_load_ms", c.maxLoadAgeMs())
 	}
 }
 
-// countOwn counts the job's open tasks in, for the bound of tasks on one target.
-func (c *Core) countOwn(l *liveJob) {
+// countOpenTasks adds the job's open tasks to the candidates, for the limit of tasks per
+// target.
+func (c *Core) countOpenTasks(l *liveJob) {
 	for i := range l.tasks {
 		at := l.tasks[i].attempt
 		if at == nil || at.agent == nil {
 			continue
 		}
-		if k := slices.Index(c.viewed, at.agent); k >= 0 {
+		if k := slices.Index(c.candidateAgents, at.agent); k >= 0 {
 			c.candidates[k].StepTasks++
 		}
 	}
 }
 
-func (c *Core) order(l *liveJob, t *task, a *agent, spec earliest.Task, choice earliest.Choice) {
+// sendOrder queues an order for the task to the chosen agent and records the attempt.
+func (c *Core) sendOrder(l *liveJob, t *task, a *agent, request earliest.Task, choice earliest.Choice) {
 	s := &l.Steps[t.step]
 	a.nextSeq++
-	at := &attempt{seq: a.nextSeq, run: c.nextRun(l), agent: a, job: l, task: t, placedAt: c.now,
-		expected: clock.FromMillis(choice.EndMs), room: choice.FitsNow}
-	c.link.Enqueue(c.now, c.sendBytes(a, l))
+	at := &attempt{seq: a.nextSeq, run: c.nextRunNumber(l), agent: a, job: l, task: t, placedAt: c.now,
+		expectedTime: clock.FromMillis(choice.EndMs), hadRoom: choice.FitsNow}
+	c.link.Enqueue(c.now, c.orderBytesOnLink(a, l))
 	t.state, t.attempt = taskPlaced, at
 	a.attempts[at.seq] = at
-	l.open++
+	l.openAttempts++
 	c.counts.Orders++
-	a.unseen = append(a.unseen, unseen{at.seq, earliest.Task{Demand: spec.Demand, EstimateMs: spec.EstimateMs}, choice.Index})
+	a.uncounted = append(a.uncounted, uncountedOrder{at.seq, earliest.Task{Demand: request.Demand, EstimateMs: request.EstimateMs}, choice.Index})
 
-	tailMs := clock.Millis(l.tails[t.step]) / max(a.load.Speed, minSpeed)
-	slackMs, giveUpMs := c.patience(l, tailMs)
-	a.out.Orders = append(a.out.Orders, wire.Order{
+	pathMs := clock.Millis(l.criticalPaths[t.step]) / max(a.load.Speed, minSpeed)
+	slackMs, giveUpMs := c.waitLimits(l, pathMs)
+	a.outgoing.Orders = append(a.outgoing.Orders, wire.Order{
 		Seq: at.seq, Job: l.ID, Step: t.step, Index: t.index, Run: at.run, Spec: l.Spec,
 		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate),
 		SlackMs: int64(slackMs), GiveUpMs: int64(giveUpMs), LimitMs: l.Deadline.Sub(c.now).Milliseconds(),
-		Movable: t.moves < mostMoves, WaitMs: choice.StartMs, Unguarded: !l.Queue.EnforcesCapacity,
+		Movable: t.crowdedReturns < maxCrowdedReturns, WaitMs: choice.StartMs, Unguarded: !l.Queue.EnforcesCapacity,
 	})
-	a.dirty = true
+	a.hasOutgoing = true
 }
 
-// sendBytes is what one more order of the job to the agent takes on the link.
-func (c *Core) sendBytes(a *agent, l *liveJob) int {
-	for i := range a.out.Orders {
-		if a.out.Orders[i].Job == l.ID {
+// orderBytesOnLink returns the bytes that one more order of the job adds to the agent's next
+// frame. A frame contains the spec of a job only once.
+func (c *Core) orderBytesOnLink(a *agent, l *liveJob) int {
+	for i := range a.outgoing.Orders {
+		if a.outgoing.Orders[i].Job == l.ID {
 			return orderBytes
 		}
 	}
 	return orderBytes + frameBytes + len(l.Spec)
 }
 
-// nextRun numbers a start. The number is higher than every earlier one of this entry,
-// also where the job came before, and, by the time of day, than those of others.
-func (c *Core) nextRun(l *liveJob) uint64 {
-	c.lastRun = max(c.lastRun+1, uint64(max(c.o.Now().UnixMilli()-runEpochMs, 1)))
+// nextRunNumber returns the run number of a new start. It is higher than every earlier one
+// of this entry, including those of earlier submissions of the job. Because it follows the
+// time of day, it is also higher than those of other entries whose clocks agree.
+func (c *Core) nextRunNumber(l *liveJob) uint64 {
+	c.lastRun = max(c.lastRun+1, uint64(max(c.options.Now().UnixMilli()-runEpochMs, 1)))
 	return c.lastRun + l.runOffset
 }
 
-// patience returns how long a task may wait and be in time, and how long it may wait
-// before it comes back. A job that can't be in time any more is finished late where
-// part of its work is done, behind all that can still be in time.
-func (c *Core) patience(l *liveJob, tailMs float64) (slackMs, giveUpMs float64) {
-	callerMs := clock.Millis(l.Deadline.Sub(c.now)) - tailMs
-	slackMs = clock.Millis(l.objective.Sub(c.now)) - tailMs
-	if slackMs < -usualSlackMs {
-		slackMs = clock.Millis(l.late.Sub(c.now)) - tailMs
+// waitLimits returns how long a task may wait and still be in time, and how long it may
+// wait before its agent returns it, both in milliseconds. pathMs is the time from the
+// start of the task to the end of the job. A job that can no longer meet its objective
+// gets the slack up to usefulUntil instead: if part of its work is done it is finished
+// late, after all tasks that can still be in time.
+func (c *Core) waitLimits(l *liveJob, pathMs float64) (slackMs, giveUpMs float64) {
+	callerMs := clock.Millis(l.Deadline.Sub(c.now)) - pathMs
+	slackMs = clock.Millis(l.objective.Sub(c.now)) - pathMs
+	if slackMs < -slackToleranceMs {
+		slackMs = clock.Millis(l.usefulUntil.Sub(c.now)) - pathMs
 	}
-	return slackMs, max(0, min(slackMs+usualSlackMs, callerMs))
+	return slackMs, max(0, min(slackMs+slackToleranceMs, callerMs))
 }
 
-// worthPlacing reports whether a task that is placed again now is worth its work.
+// worthPlacing reports whether a job whose task is placed again now can still end before
+// its deadline and while its answer has some value.
 func (c *Core) worthPlacing(l *liveJob, t *task) bool {
-	end := c.now.Add(l.tails[t.step])
-	return end.Before(l.late) && end.Before(l.Deadline)
+	end := c.now.Add(l.criticalPaths[t.step])
+	return end.Before(l.usefulUntil) && end.Before(l.Deadline)
 }
 
-// overAfter is how long after the end of an agent's session what it ran is over at
-// the latest: the lease ends, by a clock that may run 2 % slow, and the stop takes a
-// moment.
-func (c *Core) overAfter() time.Duration {
-	return c.o.LeaseLimit + c.o.LeaseLimit/20 + 60*time.Millisecond
+// lostRunLimit is the time after the end of an agent's session by which its runs have
+// certainly ended. The lease must expire, by a clock that may run 2 % slow, and the stop
+// takes some time.
+func (c *Core) lostRunLimit() time.Duration {
+	return c.options.LeaseLimit + c.options.LeaseLimit/20 + 60*time.Millisecond
 }
--- a/internal/dispatch/sessions.go
+++ b/internal/dispatch/sessions.go
@@ -9,22 +9,23 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Connect opens a session with an agent.
+// Connect opens a session with an agent. An older session with the same host is closed.
 func (c *Core) Connect(now time.Time, conn ConnID, h *wire.Hello) {
 	c.now = now
 	a := &agent{conn: conn, host: h.Worker, dataCentre: h.DataCentre, attempts: map[uint64]*attempt{}, loadAt: now}
 	c.agents[conn] = a
-	c.roster = append(c.roster, a)
-	for _, other := range c.roster {
+	c.agentsByAge = append(c.agentsByAge, a)
+	for _, other := range c.agentsByAge {
 		if other != a && other.host == a.host {
 			event.Log(c.log, event.SessionReplaced, "conn", uint64(other.conn), "host", a.host)
-			c.o.Outbox.Close(other.conn)
+			c.options.Outbox.Close(other.conn)
 		}
 	}
 }
 
-// Disconnect ends a session. What the agent ran is stopped by it, or ends with the
-// lease; until then nothing is known of it.
+// Disconnect ends a session and gives up the jobs with open orders at its agent. Their runs
+// are stopped by the agent or end with the lease of its target; until then their outcome
+// is unknown.
 func (c *Core) Disconnect(now time.Time, conn ConnID) {
 	c.now = now
 	a := c.agents[conn]
@@ -32,28 +33,28 @@
 		return
 	}
 	delete(c.agents, conn)
-	c.roster = slices.DeleteFunc(c.roster, func(o *agent) bool { return o == a })
+	c.agentsByAge = slices.DeleteFunc(c.agentsByAge, func(o *agent) bool { return o == a })
 	event.Log(c.log, event.AgentGone, "conn", uint64(conn), "host", a.host, "target", a.targetName(), "open", len(a.attempts))
-	over := now.Add(c.overAfter())
+	latestEnd := now.Add(c.lostRunLimit())
 	for _, at := range a.attempts {
-		at.agent, at.overAt = nil, over
-		at.job.mayHave = true
-		c.lost = append(c.lost, at)
+		at.agent, at.latestEnd = nil, latestEnd
+		at.job.mayHaveRun = true
+		c.lostAttempts = append(c.lostAttempts, at)
 		c.giveUp(at.job, fault.New(fault.OutcomeUnknown, "the host that ran a task of it can't be reached"))
 	}
 }
 
-// overLost settles the attempts of ended sessions once they are surely over.
-func (c *Core) overLost() {
-	for len(c.lost) > 0 && !c.now.Before(c.lost[0].overAt) {
-		at := c.lost[0]
-		c.lost = c.lost[1:]
-		at.job.open--
-		c.look(at.job)
+// settleLostAttempts settles the attempts of ended sessions whose runs have certainly ended.
+func (c *Core) settleLostAttempts() {
+	for len(c.lostAttempts) > 0 && !c.now.Before(c.lostAttempts[0].latestEnd) {
+		at := c.lostAttempts[0]
+		c.lostAttempts = c.lostAttempts[1:]
+		at.job.openAttempts--
+		c.advanceJob(at.job)
 	}
 }
 
-// Receive takes a session's frame.
+// Receive handles a frame from an agent.
 func (c *Core) Receive(now time.Time, conn ConnID, f *wire.LeasedToEntry) {
 	c.now = now
 	a := c.agents[conn]
@@ -67,68 +68,71 @@
 		}
 		a.target = f.Target
 	}
-	// The load comes first: what the outcomes send back must not go to a target that
-	// went away with them.
+	// The load is handled before the outcomes: tasks that the outcomes return must not be
+	// placed on a target that became unavailable at the same time.
 	if f.Load != nil {
-		c.hearLoad(a, f.Load)
+		c.updateLoad(a, f.Load)
 	}
 	for i := range f.Crashes {
-		c.hearCrash(a, &f.Crashes[i])
+		c.recordCrash(a, &f.Crashes[i])
 	}
 	for i := range f.Outcomes {
-		c.outcome(a, &f.Outcomes[i])
+		c.handleOutcome(a, &f.Outcomes[i])
 	}
 }
 
-func (c *Core) hearLoad(a *agent, load *wire.Load) {
+// updateLoad stores a load report and drops the uncounted orders that it includes.
+func (c *Core) updateLoad(a *agent, load *wire.Load) {
 	if load.Down != a.load.Down || load.Leaving != a.load.Leaving {
 		event.Log(c.log, event.AgentRated, "host", a.host, "target", a.targetName(), "down", load.Down, "leaving", load.Leaving,
 			"speed", load.Speed, "failed_rate", load.FailedRate)
 	}
 	if load.Down && !a.load.Down {
-		a.downAt = c.now
+		a.downSince = c.now
 	}
 	a.load, a.loadAt = *load, c.now
-	seen := 0
-	for seen < len(a.unseen) && a.unseen[seen].seq <= load.Seen {
-		seen++
+	counted := 0
+	for counted < len(a.uncounted) && a.uncounted[counted].seq <= load.Seen {
+		counted++
 	}
-	a.unseen = slices.Delete(a.unseen, 0, seen)
+	a.uncounted = slices.Delete(a.uncounted, 0, counted)
 }
 
-// downWait is how long after its word that its target is away an agent may take to
-// send back what has not begun: the orders on their way there, a hop and back.
-const downWait = 40 * time.Millisecond
+// maxReturnWait is how long after it reports its target as down an agent may take to return
+// the orders that have not started. It covers orders in flight at that time, whose round
+// trip is two hops.
+const maxReturnWait = 40 * time.Millisecond
 
-// downTargets gives up the jobs that have a task at work on a target that went away.
-// What has not begun there has come back by then and runs elsewhere; what has is over
-// when its lease ends, which is too late for most callers.
-func (c *Core) downTargets() {
-	for _, a := range c.roster {
-		if !a.load.Down || c.now.Sub(a.downAt) < downWait {
+// giveUpOnDownTargets gives up the jobs that have a task running on a target that is down.
+// After maxReturnWait, orders that had not started have been returned and placed elsewhere.
+// Those that had started end with the lease of the target, too late for most callers.
+func (c *Core) giveUpOnDownTargets() {
+	for _, a := range c.agentsByAge {
+		if !a.load.Down || c.now.Sub(a.downSince) < maxReturnWait {
 			continue
 		}
 		for _, at := range a.attempts {
-			if at.job.answered || at.job.ending {
+			if at.job.answered || at.job.givingUp {
 				continue
 			}
-			at.job.mayHave = true
+			at.job.mayHaveRun = true
 			c.giveUp(at.job, fault.New(fault.OutcomeUnknown, "the target that ran a task of it does not answer"))
 		}
 	}
 }
 
-// QueueConfigNote queues a note on the configuration for a session.
+// QueueConfigNote queues a configuration note for a session. It is merged with a note that
+// is already queued.
 func (c *Core) QueueConfigNote(conn ConnID, note wire.ConfigNote) {
 	a := c.agents[conn]
 	if a == nil {
 		return
 	}
-	a.out.Config, a.dirty = note.After(a.out.Config), true
+	a.outgoing.Config, a.hasOutgoing = note.After(a.outgoing.Config), true
 }
 
-// Evacuate lets no more work go to the targets of a data centre, or, where that is lifted,
-// lets it go there again. What waits there comes back from its agents.
+// Evacuate excludes the targets of a data centre from placement, or includes them again if
+// lifted is set. Orders that wait there are returned by their agents.
 func (c *Core) Evacuate(now time.Time, dataCentre string, lifted bool) {
 	c.now = now
 	if lifted {
@@ -138,23 +142,24 @@
 	c.evacuated[dataCentre] = struct{}{}
 }
 
-// EvacuatedDataCentres returns how many data centres are evacuated.
+// EvacuatedDataCentres returns the number of evacuated data centres.
 func (c *Core) EvacuatedDataCentres() int { return len(c.evacuated) }
 
-// QueueEvacuations queues statements on evacuations for a session.
+// QueueEvacuations queues evacuation records for a session.
 func (c *Core) QueueEvacuations(conn ConnID, statements []wire.Evacuation) {
 	a := c.agents[conn]
 	if a == nil {
 		return
 	}
-	a.out.Evacuations, a.dirty = append(a.out.Evacuations, statements...), true
+	a.outgoing.Evacuations, a.hasOutgoing = append(a.outgoing.Evacuations, statements...), true
 }
 
-// QueueLoadInterval asks an agent to report its load at most that often.
-func (c *Core) QueueLoadInterval(conn ConnID, every time.Duration) {
+// QueueLoadInterval queues, for a session, the shortest interval at which its agent may
+// report its load. Zero and negative intervals are ignored.
+func (c *Core) QueueLoadInterval(conn ConnID, interval time.Duration) {
 	a := c.agents[conn]
-	if a == nil || every <= 0 {
+	if a == nil || interval <= 0 {
 		return
 	}
-	a.out.LoadEveryMs, a.dirty = max(1, every.Milliseconds()), true
+	a.outgoing.LoadEveryMs, a.hasOutgoing = max(1, interval.Milliseconds()), true
 }
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -10,28 +10,29 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// proofWait is how long an answer may wait for the proof that nothing of the job has
-// run: the recall and its answer take two hops. Later the outcome counts as unknown.
-const proofWait = 40 * time.Millisecond
+// maxProofWait is how long an answer may wait for proof that no task of the job has run.
+// The recall and its reply take two hops. After it the outcome is answered as unknown.
+const maxProofWait = 40 * time.Millisecond
 
-// outcome takes one report of an agent.
-func (c *Core) outcome(a *agent, out *wire.RunOutcome) {
+// handleOutcome handles the outcome of an order that an agent has reported. Repeated reports
+// are ignored.
+func (c *Core) handleOutcome(a *agent, out *wire.RunOutcome) {
 	at := a.attempts[out.Seq]
 	if at == nil {
 		return
 	}
 	delete(a.attempts, out.Seq)
 	at.agent = nil
-	c.learn(at, out, a)
-	c.concluded(at, out, a)
+	c.learnRunTime(at, out, a)
+	c.settleAttempt(at, out, a)
 }
 
-// concluded ends the bookkeeping of an attempt and lets its job go on.
-func (c *Core) concluded(at *attempt, out *wire.RunOutcome, a *agent) {
+// settleAttempt records the outcome of an attempt and advances its job accordingly.
+func (c *Core) settleAttempt(at *attempt, out *wire.RunOutcome, a *agent) {
 	l, t := at.job, at.task
-	l.open--
+	l.openAttempts--
 	if out.End != wire.EndNotRun {
-		l.mayHave = true
+		l.mayHaveRun = true
 	}
 	current := t.attempt == at
 	if current {
@@ -40,50 +41,54 @@
 	if out.End == wire.EndNotRun {
 		c.counts.NotRun++
 	}
-	if l.answered || l.ending || !current {
-		c.look(l)
+	if l.answered || l.givingUp || !current {
+		c.advanceJob(l)
 		return
 	}
 	switch out.End {
 	case wire.EndDone:
-		l.last = lastTask{at: at, host: a.host, speed: a.load.Speed, waitMs: out.WaitMs, runMs: out.RunMs}
-		c.done(l, t)
+		l.lastDone = doneTask{attempt: at, host: a.host, speed: a.load.Speed, waitMs: out.WaitMs, runMs: out.RunMs}
+		c.taskSucceeded(l, t)
 	case wire.EndFailed:
-		c.failed(l, t, a)
+		c.taskFailed(l, t, a)
 	default:
-		c.moved(l, t, out, a)
+		c.taskReturned(l, t, out, a)
 	}
 }
 
-func (c *Core) done(l *liveJob, t *task) {
+// taskSucceeded marks a task as done. It completes the job after its last task, and starts
+// dependent steps after the last task of a step.
+func (c *Core) taskSucceeded(l *liveJob, t *task) {
 	t.state = taskDone
-	l.undone--
-	l.left[t.step]--
-	if l.undone == 0 {
+	l.unfinished--
+	l.stepTasksLeft[t.step]--
+	if l.unfinished == 0 {
 		c.finish(l, Answer{Kind: AnswerComplete})
 		return
 	}
-	if l.left[t.step] == 0 {
-		c.unblock(l)
+	if l.stepTasksLeft[t.step] == 0 {
+		c.unblockSteps(l)
 	}
 }
 
-// unblock lets the steps begin whose steps before are done.
-func (c *Core) unblock(l *liveJob) {
+// unblockSteps places the tasks of steps whose dependencies are all done.
+func (c *Core) unblockSteps(l *liveJob) {
 	changed := false
 	for i := range l.tasks {
 		t := &l.tasks[i]
-		if t.state != taskBlocked || slices.ContainsFunc(l.Steps[t.step].DependsOn, func(s int) bool { return l.left[s] > 0 }) {
+		if t.state != taskBlocked || slices.ContainsFunc(l.Steps[t.step].DependsOn, func(s int) bool { return l.stepTasksLeft[s] > 0 }) {
 			continue
 		}
 		t.state, changed = taskWaiting, true
 	}
 	if changed {
-		c.placeWaiting(l)
+		c.placeWaitingTasks(l)
 	}
 }
 
-func (c *Core) failed(l *liveJob, t *task, a *agent) {
+// taskFailed records that a task failed on an agent's target. It places the task again, or
+// fails the job if the task has failed Queue.MaxAttempts times.
+func (c *Core) taskFailed(l *liveJob, t *task, a *agent) {
 	t.failures++
 	t.failedAt = append(t.failedAt, a.conn)
 	event.Log(c.log, event.TargetFailed, "job", l.ID, "step", t.step, "task", t.index, "host", a.host, "target", a.targetName(),
@@ -92,122 +97,130 @@
 		c.finish(l, Answer{Kind: AnswerFailed})
 		return
 	}
-	c.placeAgain(l, t)
+	c.placeTaskAgain(l, t)
 }
 
-// moved takes an order that ended without a result: the task goes to another target.
-func (c *Core) moved(l *liveJob, t *task, out *wire.RunOutcome, a *agent) {
+// taskReturned handles an order that ended without a result. It places the task again, or
+// gives the job up if that is unsafe or too late.
+func (c *Core) taskReturned(l *liveJob, t *task, out *wire.RunOutcome, a *agent) {
 	c.counts.Moved++
 	switch out.Reason {
 	case wire.NotRunStale:
-		l.runOffset += staleStep
+		l.runOffset += staleRunStep
 	case wire.NotRunCrowded:
-		t.moves++
+		t.crowdedReturns++
 	}
 	event.Log(c.log, event.TaskReplaced, "job", l.ID, "step", t.step, "task", t.index, "host", a.host, "end", int(out.End),
 		"reason", int(out.Reason), "waited_ms", out.WaitMs, "left_ms", clock.Millis(l.objective.Sub(c.now)))
 	if out.Reason == wire.NotRunBusy {
-		// A run of an earlier owner goes on there. Started on another target, the task
-		// would run twice at once; the caller comes again after its pause.
-		l.mayHave = true
+		// A run for an earlier owner is still active at that agent. If the task started
+		// on another target, it would run twice at once. The caller sends the job again
+		// after a fixed pause.
+		l.mayHaveRun = true
 		c.giveUp(l, fault.New(fault.OutcomeUnknown, "an earlier run of a task of it is not over"))
 		return
 	}
-	if out.End == wire.EndNotRun && out.Reason == wire.NotRunLate && !l.begun() {
+	if out.End == wire.EndNotRun && out.Reason == wire.NotRunLate && !l.mayHaveBegun() {
 		c.giveUp(l, fault.New(fault.Overloaded, "it can't be done in time any more"))
 		return
 	}
-	c.placeAgain(l, t)
+	c.placeTaskAgain(l, t)
 }
 
-// begun reports whether some of the job's work is done or, as far as is known, under
-// way. Such a job is finished late rather than given up: its caller could not be told
-// that nothing ran, and would only send it again.
-func (l *liveJob) begun() bool {
-	if l.mayHave {
+// mayHaveBegun reports whether a task of the job may have run or has presumably started.
+// Such a job is finished late rather than given up: it could not be answered as not run,
+// so its caller would send it again.
+func (l *liveJob) mayHaveBegun() bool {
+	if l.mayHaveRun {
 		return true
 	}
 	for i := range l.tasks {
-		if at := l.tasks[i].attempt; at != nil && at.room {
+		if at := l.tasks[i].attempt; at != nil && at.hadRoom {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) placeAgain(l *liveJob, t *task) {
+// placeTaskAgain places a task again, or gives its job up if that is no longer worthwhile.
+func (c *Core) placeTaskAgain(l *liveJob, t *task) {
 	t.state = taskWaiting
 	if !c.worthPlacing(l, t) {
 		c.giveUp(l, fault.New(fault.DeadlineExceeded, "it can't be done in time any more"))
 		return
 	}
-	c.placeWaiting(l)
+	c.placeWaitingTasks(l)
 }
 
-// giveUp ends a job that will not be done. Where nothing of it has run so far, its
-// orders are called back first: with the proof that none has begun, the caller is
-// told so and may come back; without it, the outcome is unknown.
+// giveUp ends a job that will not be completed, and recalls its orders. If all of them are
+// proved not to have started, the job is answered as not run and the caller may retry;
+// otherwise it is answered with an unknown outcome.
 func (c *Core) giveUp(l *liveJob, f *fault.Fault) {
-	if l.answered || l.ending {
+	if l.answered || l.givingUp {
 		return
 	}
-	l.ending, l.endFault, l.endBy = true, f, c.now.Add(proofWait)
-	c.recallAll(l)
-	c.look(l)
+	l.givingUp, l.giveUpFault, l.proofDeadline = true, f, c.now.Add(maxProofWait)
+	c.recallOrders(l)
+	c.advanceJob(l)
 }
 
-// look answers a job that is being given up as soon as it is known what became of
-// it, ends one whose caller has stopped waiting, and begins one that came again.
-func (c *Core) look(l *liveJob) {
-	if !l.answered && !l.ending && !c.now.Before(l.Deadline) {
+// advanceJob performs the job's pending transitions. It ends a job past its deadline,
+// answers a job that is being given up once its outcome is known or maxProofWait has
+// passed, and starts a waiting resubmission once all runs are over.
+func (c *Core) advanceJob(l *liveJob) {
+	if !l.answered && !l.givingUp && !c.now.Before(l.Deadline) {
 		c.finish(l, Answer{Kind: AnswerUnknown, Fault: fault.New(fault.DeadlineExceeded, "the caller's time is over")})
 	}
-	if !l.answered && l.ending && (l.mayHave || l.open == 0 || !c.now.Before(l.endBy)) {
-		c.conclude(l)
+	if !l.answered && l.givingUp && (l.mayHaveRun || l.openAttempts == 0 || !c.now.Before(l.proofDeadline)) {
+		c.answerGivenUp(l)
 	}
-	if l.answered && l.open == 0 && l.next != nil {
-		next := l.next
-		l.next = nil
-		c.jobs.forget(l)
-		c.begin(next.job, next.waiter)
+	if l.answered && l.openAttempts == 0 && l.resubmission != nil {
+		next := l.resubmission
+		l.resubmission = nil
+		c.jobs.remove(l)
+		c.admitOrRefuse(next.job, next.callback)
 	}
 }
 
-func (c *Core) conclude(l *liveJob) {
-	if !l.mayHave && l.open == 0 {
-		after := c.comeback.RetryAfter(c.now, retryAfter, l.Queue.Priority)
-		l.endFault.RetryAfterMs = after.Milliseconds()
-		c.finish(l, Answer{Kind: AnswerNotRun, Fault: l.endFault, RetryAfter: after})
+// answerGivenUp answers a job that was given up: as not run if that is proved, else with an
+// unknown outcome.
+func (c *Core) answerGivenUp(l *liveJob) {
+	if !l.mayHaveRun && l.openAttempts == 0 {
+		retryAfter := c.retrySchedule.RetryAfter(c.now, minRetryAfter, l.Queue.Priority)
+		l.giveUpFault.RetryAfterMs = retryAfter.Milliseconds()
+		c.finish(l, Answer{Kind: AnswerNotRun, Fault: l.giveUpFault, RetryAfter: retryAfter})
 		return
 	}
-	c.finish(l, Answer{Kind: AnswerUnknown, Fault: l.endFault})
+	c.finish(l, Answer{Kind: AnswerUnknown, Fault: l.giveUpFault})
 }
 
-// finish gives the job its one answer and calls back what is still open.
+// finish records the single answer of the job, recalls its open orders and calls its
+// callbacks.
 func (c *Core) finish(l *liveJob, answer Answer) {
-	l.answered, l.answer, l.keepUntil = true, answer, c.now.Add(answerKeep)
-	c.jobs.answered()
-	c.ended(l, answer)
-	c.recallAll(l)
+	l.answered, l.answer, l.keepUntil = true, answer, c.now.Add(answerRetention)
+	c.jobs.noteAnswer()
+	c.updateMargins(l, answer)
+	c.recallOrders(l)
 	c.logAnswer(l, answer)
-	c.link.Enqueue(c.now, answerBytes*len(l.waiters))
-	waiters := l.waiters
-	l.waiters = nil
-	for _, w := range waiters {
-		w(answer)
+	c.link.Enqueue(c.now, answerBytes*len(l.callbacks))
+	callbacks := l.callbacks
+	l.callbacks = nil
+	for _, callback := range callbacks {
+		callback(answer)
 	}
 }
 
+// logAnswer counts and logs the answer to a job.
 func (c *Core) logAnswer(l *liveJob, answer Answer) {
-	took := clock.Millis(c.now.Sub(l.arrived))
+	tookMs := clock.Millis(c.now.Sub(l.arrived))
 	late := c.now.After(l.objective)
 	if answer.Kind == AnswerComplete {
 		c.counts.Complete++
-		event.Log(c.log, event.JobComplete, l.completeFields(took, late)...)
+		event.Log(c.log, event.JobComplete, l.completionFields(tookMs, late)...)
 		return
 	}
 	id := event.JobFailed
-	reason, detail := "failed", "a task has failed as often as it may"
+	reason, detail := "failed", "a task failed the maximum number of times"
 	if answer.Fault != nil {
 		reason, detail = answer.Fault.Name, answer.Fault.Detail
 	}
@@ -220,39 +233,39 @@
 	default:
 		c.counts.Unknown++
 	}
-	event.Log(c.log, id, "job", l.ID, "queue", l.Queue.Name, "ms", took, "late", late, "answer", int(answer.Kind), "reason", reason, "detail", detail,
-		"undone", l.undone, "open", l.open, "not_run", answer.Kind == AnswerNotRun)
+	event.Log(c.log, id, "job", l.ID, "queue", l.Queue.Name, "ms", tookMs, "late", late, "answer", int(answer.Kind), "reason", reason, "detail", detail,
+		"undone", l.unfinished, "open", l.openAttempts, "not_run", answer.Kind == AnswerNotRun)
 }
 
-// completeFields are what the line of a complete job says. A late one says where the time of
-// its last task went, too.
-func (l *liveJob) completeFields(tookMs float64, late bool) []any {
+// completionFields returns the log fields of a completed job. For a late job they include
+// the timings of its last task.
+func (l *liveJob) completionFields(tookMs float64, late bool) []any {
 	fields := []any{"job", l.ID, "queue", l.Queue.Name, "ms", tookMs, "late", late}
 	if !late {
 		return fields
 	}
-	last := &l.last
+	last := &l.lastDone
 	return append(fields, "tasks", len(l.tasks), "objective_ms", clock.Millis(l.objective.Sub(l.arrived)),
-		"last_host", last.host, "last_speed", last.speed, "last_placed_ms", clock.Millis(last.at.placedAt.Sub(l.arrived)),
-		"last_expected_ms", clock.Millis(last.at.expected), "last_room", last.at.room,
-		"last_wait_ms", last.waitMs, "last_run_ms", last.runMs, "last_estimate_ms", clock.Millis(l.Steps[last.at.task.step].Estimate))
+		"last_host", last.host, "last_speed", last.speed, "last_placed_ms", clock.Millis(last.attempt.placedAt.Sub(l.arrived)),
+		"last_expected_ms", clock.Millis(last.attempt.expectedTime), "last_room", last.attempt.hadRoom,
+		"last_wait_ms", last.waitMs, "last_run_ms", last.runMs, "last_estimate_ms", clock.Millis(l.Steps[last.attempt.task.step].Estimate))
 }
 
-// recallAll calls every open order of the job back. What becomes of them is still
-// reported.
-func (c *Core) recallAll(l *liveJob) {
+// recallOrders recalls every open order of the job. The agents still report their outcomes.
+func (c *Core) recallOrders(l *liveJob) {
 	for i := range l.tasks {
 		at := l.tasks[i].attempt
 		if at == nil || at.agent == nil {
 			continue
 		}
 		l.tasks[i].attempt = nil
-		at.agent.out.Recalls = append(at.agent.out.Recalls, at.seq)
-		at.agent.dirty = true
+		at.agent.outgoing.Recalls = append(at.agent.outgoing.Recalls, at.seq)
+		at.agent.hasOutgoing = true
 		c.counts.Recalls++
 	}
 }
 
+// targetName returns the name of the agent's target, or "" if it has reported none.
 func (a *agent) targetName() string {
 	if a.target == nil {
 		return ""
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// table holds the jobs that this process knows, by id. A job is unsettled until it has
-// its answer and every attempt its outcome; then it is kept for a while, for copies of
-// its request. Ten seconds of settled jobs are many times the unsettled ones, so what
-// looks at jobs all the time looks at the latter alone.
+// table holds the jobs that this process knows, by ID. A job is unsettled until it has an
+// answer and each of its attempts an outcome. Settled jobs are kept for answerRetention,
+// to answer copies of their requests. The settled jobs of ten seconds far outnumber the
+// unsettled ones, so periodic work iterates only over unsettled.
 type table struct {
-	byID      map[string]*liveJob
-	unsettled map[*liveJob]struct{}
-	kept      []*liveJob // settled, in the order in which they settled
-	live      int        // without an answer
+	byID       map[string]*liveJob
+	unsettled  map[*liveJob]struct{}
+	settled    []*liveJob // in the order in which they settled
+	unanswered int        // number of jobs without an answer
 }
 
 func newTable() table {
 	return table{byID: map[string]*liveJob{}, unsettled: map[*liveJob]struct{}{}}
 }
 
-// add takes a job that has no answer yet.
+// add adds a job that has no answer yet.
 func (t *table) add(l *liveJob) {
 	t.byID[l.ID] = l
 	t.unsettled[l] = struct{}{}
-	t.live++
+	t.unanswered++
 }
 
-// answered notes that a job of the table has its answer.
-func (t *table) answered() { t.live-- }
+// noteAnswer counts a job as answered. It is called once per job.
+func (t *table) noteAnswer() { t.unanswered-- }
 
-// settle keeps a job from now on only for copies of its request.
+// settle marks a job as settled. It is kept only for copies of its request from now on.
 func (t *table) settle(l *liveJob) {
 	delete(t.unsettled, l)
 	if t.byID[l.ID] == l {
-		t.kept = append(t.kept, l)
+		t.settled = append(t.settled, l)
 	}
 }
 
-// forget makes room for another coming of a settled job.
-func (t *table) forget(l *liveJob) {
+// remove removes a job, so that it can be submitted again.
+func (t *table) remove(l *liveJob) {
 	delete(t.unsettled, l)
 	delete(t.byID, l.ID)
 }
 
-// expire drops the settled jobs whose time is over.
+// expire drops the settled jobs whose retention has ended.
 func (t *table) expire(now time.Time) {
-	for len(t.kept) > 0 && now.After(t.kept[0].keepUntil) {
-		l := t.kept[0]
-		t.kept[0] = nil
-		t.kept = t.kept[1:]
+	for len(t.settled) > 0 && now.After(t.settled[0].keepUntil) {
+		l := t.settled[0]
+		t.settled[0] = nil
+		t.settled = t.settled[1:]
 		if t.byID[l.ID] == l {
 			delete(t.byID, l.ID)
 		}
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -15,7 +15,7 @@
 # name | file | edit that switches it off
 table() {
 	cat <<'TABLE'
-corrected-estimates|internal/dispatch/intake.go|s/j = c.calibrated(asSent)/_ = c.calibrated/
+corrected-estimates|internal/dispatch/intake.go|s/j = c.calibrated(submitted)/_ = c.calibrated/
 wait-factor|internal/scheduler/earliest/earliest.go|s/waitFactor   = 1.4/waitFactor = 1.0/;s/waitMarginMs = 8/waitMarginMs = 0/
 wait-aversion|internal/scheduler/earliest/earliest.go|s/waitAversion = 1.5/waitAversion = 0/
 crowding|internal/scheduler/earliest/earliest.go|s/crowdingMs    = 60/crowdingMs = 0/;s/crowdingShare = 0.15/crowdingShare = 0/
@@ -27,7 +27,7 @@
 return-when-idle|internal/runs/rating.go|s/idleRecoveryRate = 0.6/idleRecoveryRate = 0/
 avoidance|internal/runs/rating.go|s/return now.Before(r.avoidUntil)/return false \&\& now.Before(r.avoidUntil)/
 least-slack-first|internal/runs/orders.go|s/return a.startBy.Compare(b.startBy)/return a.receivedAt.Compare(b.receivedAt)/
-giving-back-late|internal/dispatch/place.go|s/min(slackMs+usualSlackMs, callerMs)/callerMs/
+giving-back-late|internal/dispatch/place.go|s/min(slackMs+slackToleranceMs, callerMs)/callerMs/
 admission|internal/dispatch/intake.go|s/admitFactor = 1.1/admitFactor = 100/
 moving-overdue|internal/dispatch/overdue.go|s/overdueFactor = 4$/overdueFactor = 1000/;s/shunnedFactor = 2$/shunnedFactor = 1000/
 repeated-starts|internal/runs/target.go|s/maxStartRetries = 2/maxStartRetries = 0/
