--- a/internal/scheduler/admission/admission.go
+++ b/internal/scheduler/admission/admission.go
@@ -1,50 +1,54 @@
-// Package admission decides at the door whether a job is let in.
+// Package admission implements admission control: it accepts or refuses a job on arrival.
 //
-// The pattern of load: callers bring 1.5 times what the targets can do, for
-// minutes. If all of it is let in, the queue grows until every job that comes out
-// of it has missed its deadline: the targets are busy with answers nobody can use
-// (congestion collapse), and it goes on after the burst has ended.
+// Without it, an offered load of 1.5 times the capacity of the targets for some minutes
+// causes congestion collapse. The queue grows until every job leaves it after its
+// deadline, the targets compute answers that no caller can use, and this continues after
+// the burst has ended.
 //
-// Why this works: work is let in only as far as the queue can be worked off in a
-// short time, so what is let in is finished in time, and what is refused is
-// refused at once, has not run, and is told when to come back: after the time in
-// which the queue will have shrunk enough. When the queue is long, a team that
-// fills more than its share of it is turned away first, so that one caller's
-// burst does not shut out the others.
+// Jobs are admitted only while the queue can be drained in a short time, so admitted jobs
+// meet their deadlines. A refused job is refused before any of it has run, with a
+// Retry-After that covers the time in which the queue shrinks enough. When the queue is
+// long, jobs of teams that exceed their share of it are refused first, so that the burst
+// of one caller does not exclude the others.
 package admission
 
 import "time"
 
 const (
-	// softShare and hardShare bound how long the queue may take to work off, as a
-	// share of the time that the job at the door has. Jobs that come later and rank
-	// before it can double the wait of a large job, and its own run comes on top.
-	// Above the soft bound, teams far above their equal share are refused, and jobs
-	// of which the work before them and their own exceeds it: those are the large
-	// ones, so that a given excess turns away few callers, and small jobs still pass.
-	// A team below its equal share is spared by both. Above the hard one, everybody
-	// is refused whose own turn comes that late; an urgent job that ranks before a
-	// long queue never stands in it.
-	softShare = 0.2
-	hardShare = 0.4
-	// fairSlack is how far from its equal share towards the whole a team may fill the
-	// queue before it counts as flooding. Of teams that are alike, half are above their
-	// equal share at any moment, and must not be refused for that.
-	fairSlack = 0.5
-	// SoftQueue and HardQueue bound the same for jobs with much time. Near capacity
-	// queues of several seconds come up by chance and go away again, and small jobs
-	// pass them; work refused for them would be missing afterwards.
+	// softDeadlineShare and hardDeadlineShare bound the drain time of the queue as a share
+	// of the time until the arriving job's deadline. They are well below 1 because later
+	// arrivals that rank higher can double the wait of a large job, and its own run time
+	// is added to that wait.
+	// Above the soft bound, jobs of teams far above their equal share are refused, and so
+	// are jobs for which the work ahead plus their own exceeds the bound. The latter are
+	// the large ones, so that a given excess is removed by refusing few callers and small
+	// jobs are still admitted. Neither rule applies to a team below its equal share.
+	// Above the hard bound, every job is refused for which the work ahead plus its own
+	// takes that long; an urgent job that ranks ahead of a long queue is not affected.
+	softDeadlineShare = 0.2
+	hardDeadlineShare = 0.4
+	// fairShareTolerance is the part of the queue beyond a team's equal share, as a fraction
+	// of the rest of the queue, that the team may fill before its jobs are refused. Of teams
+	// with equal load, half are above their equal share at any moment and must not be
+	// refused for that.
+	fairShareTolerance = 0.5
+	// SoftQueue and HardQueue are the same bounds as absolute times, for jobs with a distant
+	// deadline or none. Near capacity, queues of several seconds form and dissolve by
+	// chance, and small jobs overtake them; refusing work because of them would leave the
+	// targets idle later.
 	SoftQueue = 10 * time.Second
 	HardQueue = 20 * time.Second
-	// OvertakeFactor allows for jobs that will come later and go first.
+	// OvertakeFactor scales the expected wait to allow for later arrivals that rank higher.
 	OvertakeFactor = 1.5
-	// MinRetry and MaxRetry bound the time to come back: below, the refusals
-	// themselves become the load; above, callers stay away from a free system.
+	// MinRetry and MaxRetry bound Decision.RetryAfter. With a shorter time the retries
+	// themselves overload the service; with a longer one callers stay away after capacity
+	// is available again.
 	MinRetry = 100 * time.Millisecond
 	MaxRetry = 30 * time.Second
 )
 
-// Limits are what operators may set; a zero field takes the constant above.
+// Limits are the bounds that operators can configure. A zero field stands for the constant
+// of the same name.
 type Limits struct {
 	SoftQueue, HardQueue time.Duration
 	OvertakeFactor       float64
@@ -63,107 +67,109 @@
 	return l
 }
 
-// View is the state of the owner and the job at the door. Work is in
-// milliseconds at speed 1.
+// View is the input of Decide: the load of the owner and the arriving job. Work is in
+// milliseconds of run time on a target of speed 1.
 type View struct {
-	QueuedMs        float64 // unfinished work of all jobs let in
-	CapacityMsPerMs float64 // work the owner gets done in a millisecond (slots x speed)
-	FastestSpeed    float64 // of the fastest suitable target
-	Jobs, MaxJobs   int     // jobs held, and the most that memory allows; MaxJobs 0: no limit
+	QueuedMs        float64 // unfinished work of all admitted jobs
+	CapacityMsPerMs float64 // work completed per millisecond (slots x speed)
+	FastestSpeed    float64 // speed of the fastest suitable target
+	Jobs, MaxJobs   int     // current jobs and the memory limit on them; MaxJobs 0: no limit
 
-	RemainingMs float64       // the job's work
-	LongestMs   float64       // its longest task
-	AheadMs     float64       // queued work that ranks before it
-	DeadlineIn  time.Duration // 0: none
+	RemainingMs float64       // total work of the job
+	LongestMs   float64       // work of its longest task
+	AheadMs     float64       // queued work that ranks ahead of the job
+	DeadlineIn  time.Duration // time until the job's deadline; 0: no deadline
 
-	TeamQueuedMs float64 // part of QueuedMs that is of the job's team
-	Teams        int     // teams with work queued, the job's own included
+	TeamQueuedMs float64 // part of QueuedMs that belongs to the job's team
+	Teams        int     // teams with queued work, including the job's own
 
 	Limits Limits
 }
 
-// Reason says why a job was refused.
+// Reason is the cause of a refusal.
 type Reason uint8
 
 // Reasons.
 const (
 	Admitted   Reason = iota
-	TableFull         // as many jobs are held as memory allows
-	NoCapacity        // no target is there at all
-	QueueFull         // the queue is as long as can be worked off in time
-	TeamShare         // the queue is long and the team fills more than its share
-	TooLate           // it could not end before its deadline
+	TableFull         // the job table has reached its memory limit
+	NoCapacity        // no target is available
+	QueueFull         // the work ahead of the job, or the whole queue, takes too long
+	TeamShare         // the queue is long and the team exceeds its share of it
+	TooLate           // the job is not expected to complete before its deadline
 )
 
 var reasonNames = [...]string{"admitted", "table_full", "no_capacity", "queue_full", "team_share", "too_late"}
 
-// String returns the reason's name in logs and refusals.
+// String returns the name of the reason in logs and in refusals to callers.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision is the outcome.
+// Decision is the result of Decide.
 type Decision struct {
 	Admit      bool
 	Reason     Reason
-	RetryAfter time.Duration // when refused
+	RetryAfter time.Duration // set if refused; from MinRetry to MaxRetry
 }
 
-// Decide lets the job in or turns it away.
+// Decide admits or refuses the arriving job.
 func Decide(v View) Decision {
 	v.Limits = v.Limits.withDefaults()
 	if v.MaxJobs > 0 && v.Jobs >= v.MaxJobs {
-		return refuse(TableFull, drain(v, v.QueuedMs/4))
+		return refuse(TableFull, drainTime(v, v.QueuedMs/4))
 	}
 	if v.CapacityMsPerMs <= 0 {
 		return refuse(NoCapacity, time.Second)
 	}
 	if v.DeadlineIn > 0 {
-		if need := expected(v); need > v.DeadlineIn {
+		if need := expectedCompletion(v); need > v.DeadlineIn {
 			return refuse(TooLate, need-v.DeadlineIn)
 		}
 	}
-	queue, turn := drain(v, v.QueuedMs), drain(v, v.AheadMs+v.RemainingMs)
-	soft, hard := v.queues()
-	if queue > v.Limits.HardQueue || turn > hard {
-		return refuse(QueueFull, max(queue, turn)-soft)
+	queue, turnaround := drainTime(v, v.QueuedMs), drainTime(v, v.AheadMs+v.RemainingMs)
+	soft, hard := v.queueLimits()
+	if queue > v.Limits.HardQueue || turnaround > hard {
+		return refuse(QueueFull, max(queue, turnaround)-soft)
 	}
-	if queue > soft && aboveShare(v, fairSlack) {
+	if queue > soft && aboveShare(v, fairShareTolerance) {
 		return refuse(TeamShare, queue-soft)
 	}
-	if turn > soft && aboveShare(v, 0) {
-		return refuse(QueueFull, turn-soft)
+	if turnaround > soft && aboveShare(v, 0) {
+		return refuse(QueueFull, turnaround-soft)
 	}
 	return Decision{Admit: true}
 }
 
-// queues returns how long the queue may be for a job with so much time left.
-func (v View) queues() (soft, hard time.Duration) {
+// queueLimits returns the bounds on the drain time that apply to the job's deadline.
+func (v View) queueLimits() (soft, hard time.Duration) {
 	soft, hard = v.Limits.SoftQueue, v.Limits.HardQueue
 	if v.DeadlineIn > 0 {
-		soft = min(soft, time.Duration(softShare*float64(v.DeadlineIn)))
-		hard = min(hard, time.Duration(hardShare*float64(v.DeadlineIn)))
+		soft = min(soft, time.Duration(softDeadlineShare*float64(v.DeadlineIn)))
+		hard = min(hard, time.Duration(hardDeadlineShare*float64(v.DeadlineIn)))
 	}
 	return soft, hard
 }
 
-// expected is the time until the job would be done.
-func expected(v View) time.Duration {
-	wait := drain(v, v.AheadMs*v.Limits.OvertakeFactor)
-	own := drain(v, v.RemainingMs)
+// expectedCompletion returns the expected time until the job completes if admitted: the
+// scaled wait plus its run time, which its longest task bounds from below.
+func expectedCompletion(v View) time.Duration {
+	wait := drainTime(v, v.AheadMs*v.Limits.OvertakeFactor)
+	own := drainTime(v, v.RemainingMs)
 	if v.FastestSpeed > 0 {
 		own = max(own, time.Duration(v.LongestMs/v.FastestSpeed*float64(time.Millisecond)))
 	}
 	return wait + own
 }
 
-// aboveShare reports whether the job's team would fill more of the queue than its
-// equal share and the part slack of the rest.
-func aboveShare(v View, slack float64) bool {
+// aboveShare reports whether the job's team would fill more of the queue than its equal
+// share plus the fraction tolerance of the rest.
+func aboveShare(v View, tolerance float64) bool {
 	equal := 1 / float64(max(v.Teams, 1))
-	return v.TeamQueuedMs+v.RemainingMs > (equal+(1-equal)*slack)*v.QueuedMs
+	return v.TeamQueuedMs+v.RemainingMs > (equal+(1-equal)*tolerance)*v.QueuedMs
 }
 
-// drain is how long it takes to get work done.
-func drain(v View, workMs float64) time.Duration {
+// drainTime returns how long the owner takes to complete workMs of work, or MaxRetry if it
+// has no capacity.
+func drainTime(v View, workMs float64) time.Duration {
 	if v.CapacityMsPerMs <= 0 {
 		return MaxRetry
 	}
--- a/internal/scheduler/admission/admission_test.go
+++ b/internal/scheduler/admission/admission_test.go
@@ -14,129 +14,128 @@
 	RunSpecs(t, "admission")
 }
 
-// door is a queue that is worked off in order at a fixed capacity, with Decide
-// in front of it.
-type door struct {
-	capacity float64
-	now      time.Duration
-	queue    []queued
-	queuedMs map[string]float64
-	idleMs   float64
-	refused  map[string]int
-	admitted map[string]int
-	longest  time.Duration // of all waits
+// queueModel simulates a first-come, first-served queue with a fixed service rate, to which
+// Decide admits jobs.
+type queueModel struct {
+	capacity    float64 // milliseconds of work per millisecond
+	now         time.Duration
+	queue       []queuedJob
+	queuedMs    map[string]float64
+	idleMs      float64
+	refused     map[string]int
+	admitted    map[string]int
+	longestWait time.Duration // from arrival to completion
 }
 
-type queued struct {
+type queuedJob struct {
 	team    string
 	workMs  float64
 	arrived time.Duration
 }
 
-func newDoor() *door {
-	return &door{capacity: 100, queuedMs: map[string]float64{}, refused: map[string]int{}, admitted: map[string]int{}}
+func newQueueModel() *queueModel {
+	return &queueModel{capacity: 100, queuedMs: map[string]float64{}, refused: map[string]int{}, admitted: map[string]int{}}
 }
 
-func (d *door) total() float64 {
+func (m *queueModel) totalMs() float64 {
 	sum := 0.0
-	for _, ms := range d.queuedMs {
+	for _, ms := range m.queuedMs {
 		sum += ms
 	}
 	return sum
 }
 
-func (d *door) offer(team string, workMs float64) Decision {
-	teams := len(d.queuedMs)
-	if d.queuedMs[team] == 0 {
+func (m *queueModel) offer(team string, workMs float64) Decision {
+	teams := len(m.queuedMs)
+	if m.queuedMs[team] == 0 {
 		teams++
 	}
 	got := Decide(View{
-		QueuedMs: d.total(), AheadMs: d.total(), CapacityMsPerMs: d.capacity, FastestSpeed: 3,
+		QueuedMs: m.totalMs(), AheadMs: m.totalMs(), CapacityMsPerMs: m.capacity, FastestSpeed: 3,
 		RemainingMs: workMs, LongestMs: min(workMs, 1000), DeadlineIn: 10 * time.Second,
-		TeamQueuedMs: d.queuedMs[team], Teams: teams,
+		TeamQueuedMs: m.queuedMs[team], Teams: teams,
 	})
 	if !got.Admit {
-		d.refused[team]++
+		m.refused[team]++
 		return got
 	}
-	d.admitted[team]++
-	d.queue = append(d.queue, queued{team, workMs, d.now})
-	d.queuedMs[team] += workMs
+	m.admitted[team]++
+	m.queue = append(m.queue, queuedJob{team, workMs, m.now})
+	m.queuedMs[team] += workMs
 	return got
 }
 
-// run works the queue off for a step of 10 ms.
-func (d *door) run() {
+// advance serves the queue for one step of 10 ms.
+func (m *queueModel) advance() {
 	const step = 10 * time.Millisecond
-	d.now += step
-	can := d.capacity * 10
-	for can > 0 && len(d.queue) > 0 {
-		j := &d.queue[0]
-		done := min(can, j.workMs)
-		can -= done
+	m.now += step
+	budget := m.capacity * 10
+	for budget > 0 && len(m.queue) > 0 {
+		j := &m.queue[0]
+		done := min(budget, j.workMs)
+		budget -= done
 		j.workMs -= done
-		if d.queuedMs[j.team] -= done; d.queuedMs[j.team] < 1e-6 {
-			delete(d.queuedMs, j.team)
+		if m.queuedMs[j.team] -= done; m.queuedMs[j.team] < 1e-6 {
+			delete(m.queuedMs, j.team)
 		}
 		if j.workMs == 0 {
-			d.longest = max(d.longest, d.now-j.arrived)
-			d.queue = d.queue[1:]
+			m.longestWait = max(m.longestWait, m.now-j.arrived)
+			m.queue = m.queue[1:]
 		}
 	}
-	d.idleMs += can
+	m.idleMs += budget
 }
 
 var _ = Describe("admission", func() {
-	// Callers bring 1.5 times the capacity for a minute. Let in, it all comes out
-	// after its deadline, and for half a minute after the burst as well.
+	// Guards against congestion collapse: the offered load is 1.5 times the capacity for a
+	// minute. If everything were admitted, every job would complete after its deadline, until
+	// half a minute after the burst.
 	It("keeps the targets busy and every answer in time under saturation", func() {
-		d := newDoor()
+		m := newQueueModel()
 		r := rand.New(rand.NewPCG(3, 4))
 		var retries []time.Duration
 		for range 6000 {
-			for offered := 0.0; offered < 1.5*d.capacity*10; {
+			for offered := 0.0; offered < 1.5*m.capacity*10; {
 				workMs := []float64{500, 500, 500, 2000, 8000, 32000}[r.IntN(6)] * r.ExpFloat64()
 				offered += workMs
-				if got := d.offer("t", workMs); !got.Admit {
+				if got := m.offer("t", workMs); !got.Admit {
 					retries = append(retries, got.RetryAfter)
 				}
 			}
-			d.run()
+			m.advance()
 		}
-		Expect(d.idleMs).To(BeNumerically("<", 0.03*d.capacity*60_000))
-		Expect(d.longest).To(BeNumerically("<", 10*time.Second))
+		Expect(m.idleMs).To(BeNumerically("<", 0.03*m.capacity*60_000))
+		Expect(m.longestWait).To(BeNumerically("<", 10*time.Second))
 		Expect(retries).NotTo(BeEmpty())
 		Expect(retries).To(HaveEach(And(BeNumerically(">=", MinRetry), BeNumerically("<", 5*time.Second))))
-		// Once the burst is over, the next job is served as if it had not been.
+		// After the burst the queue drains completely and the next job is admitted.
 		for range 500 {
-			d.run()
+			m.advance()
 		}
-		Expect(d.offer("t", 500).Admit).To(BeTrue())
-		Expect(d.total()).To(BeNumerically("==", 500))
+		Expect(m.offer("t", 500).Admit).To(BeTrue())
+		Expect(m.totalMs()).To(BeNumerically("==", 500))
 	})
 
-	// One team sends 90 % of twice the capacity. Were refusals dealt out blindly,
-	// the small teams, well within their share, would be refused like the flood.
-	It("refuses the team that floods and not the others", func() {
-		d := newDoor()
+	// One team sends 90 % of an offered load of twice the capacity. Refusals regardless of the
+	// team would also hit small teams that are well within their share.
+	It("refuses only the team that exceeds its share", func() {
+		m := newQueueModel()
 		for range 3000 {
 			for range 9 {
-				d.offer("flood", 200)
+				m.offer("flood", 200)
 			}
-			d.offer("small", 200)
-			d.run()
+			m.offer("small", 200)
+			m.advance()
 		}
-		Expect(d.refused["small"]).To(BeZero())
-		Expect(d.refused["flood"]).To(BeNumerically(">", 3000))
-		Expect(d.admitted["flood"]).To(BeNumerically(">", 10000))
+		Expect(m.refused["small"]).To(BeZero())
+		Expect(m.refused["flood"]).To(BeNumerically(">", 3000))
+		Expect(m.admitted["flood"]).To(BeNumerically(">", 10000))
 	})
 
-	// A job can't end before its deadline however it is served. Let in, it takes
-	// slots from jobs that can.
-	// Large jobs with much time fill the queue, and a check comes that is due in
-	// 150 ms. It goes before all of them; turned away for the length of a queue that
-	// it never stands in, it would leave a valve without its check.
-	It("lets an urgent small job pass a long queue of large ones", func() {
+	// Large jobs with distant deadlines fill the queue when a small job arrives that is due in
+	// 150 ms and ranks ahead of all of them. Guards against refusing it for the length of a
+	// queue that it does not wait in: a safety check, such as that of a valve, would be missed.
+	It("admits an urgent small job despite a long queue of large ones", func() {
 		urgent := View{QueuedMs: 20_000, CapacityMsPerMs: 100, FastestSpeed: 3, RemainingMs: 60, LongestMs: 60,
 			DeadlineIn: 150 * time.Millisecond, TeamQueuedMs: 10, Teams: 2}
 		Expect(Decide(urgent).Admit).To(BeTrue())
@@ -144,7 +143,9 @@
 		Expect(Decide(urgent).Admit).To(BeFalse())
 	})
 
-	It("refuses what can't be in time", func() {
+	// A job that misses its deadline however it is served would take slots from jobs that
+	// can meet theirs.
+	It("refuses a job that can't meet its deadline", func() {
 		v := View{CapacityMsPerMs: 100, FastestSpeed: 2, RemainingMs: 4000, LongestMs: 4000, DeadlineIn: time.Second}
 		Expect(Decide(v).Reason).To(Equal(TooLate))
 		v.LongestMs = 1000
@@ -153,7 +154,7 @@
 		Expect(Decide(v).Reason).To(Equal(TooLate))
 	})
 
-	It("names a full table and a fleet without targets", func() {
+	It("reports a full job table and a fleet without targets", func() {
 		Expect(Decide(View{Jobs: 5, MaxJobs: 5, CapacityMsPerMs: 1})).To(Equal(Decision{false, TableFull, MinRetry}))
 		Expect(Decide(View{}).Reason).To(Equal(NoCapacity))
 	})
