--- a/internal/scheduler/calibration/calibration.go
+++ b/internal/scheduler/calibration/calibration.go
@@ -1,92 +1,92 @@
-// Package calibration corrects callers' estimates of run times by how far they were
-// right before.
+// Package calibration corrects callers' estimates of run times for their random error.
 //
-// The load it answers: tasks of one queue, whose estimates are off at random, by two
-// fifths and more. Of such estimates the small ones are too small as a rule and the large
-// ones too large, because an error is the likelier reason for an extreme one.
+// Estimates of the tasks of one queue are off at random, by two fifths and more. Small
+// estimates are then usually too small and large ones too large, because an extreme
+// estimate is more likely due to an error (regression to the mean).
 //
-// What goes wrong without it: a job with a small estimate is thought to be wanted sooner
-// than it is. Under load it is turned away or given back as hopeless while it could have
-// been in time, and it goes before others that have less time. Callers notice refusals
-// while there is room.
+// Uncorrected, a job with a small estimate gets an objective that is too early. Under load
+// it is refused or returned as unable to meet its objective although it could, and it is
+// ordered before jobs that have less time left. Callers see refusals while capacity is free.
 //
-// Why this works: a straight line between the logarithms of estimate and run time says
-// how much of an estimate is to be believed. Its slope is learned from ends; its middle
-// stays where the estimates are, so that correcting estimates by run times, and speeds by
-// estimates, can't drive each other away together.
+// A linear regression of the logarithm of the run time on that of the estimate gives the
+// reliability of the estimates. Only the slope is learned from run times; the mean is that
+// of the estimates. Target speeds are measured against the same estimates, and with a
+// learned mean the two corrections could drift away together.
 //
-// Package estimation learns another thing, for targets that declare a speed: whole classes
-// that are off by a factor, and how fast each target really is. Here speeds are measured
-// at the targets, by the same estimates, so the level of both together can't be known and
-// must be left alone.
+// Package estimation solves another problem, for targets that declare a speed: classes
+// whose estimates are off by a factor, and the actual speed of each target. Here the common
+// level of estimates and measured speeds can't be determined, and is not corrected.
 package calibration
 
 import "math"
 
 const (
-	// memory is over how many tasks the line forgets. The slope of 300 tasks of one
-	// queue with errors of two fifths is right within a tenth.
-	memory = 300
-	// believed is how many tasks of doubt a line starts with: that many for which the
-	// estimate was right.
-	believed = 30
-	// usualVariance is the variance of the logarithms of those: estimates differ by
-	// half from each other.
-	usualVariance = 0.25
-	// mostSurprise bounds the logarithm of one run time over the expected one. A task that
-	// hung says nothing about how long such tasks take.
-	mostSurprise = 1.5
-	// leastMs keeps logarithms finite.
-	leastMs = 0.1
+	// windowTasks is the number of tasks over which the moving averages extend. With 300
+	// tasks of one queue and errors of two fifths, the slope is accurate to a tenth.
+	windowTasks = 300
+	// priorTasks is the weight of the prior, as a number of tasks whose estimates were
+	// exact.
+	priorTasks = 30
+	// priorVariance is the variance of the logarithms of the prior's estimates: they differ
+	// from each other by half.
+	priorVariance = 0.25
+	// maxLogDeviation limits the logarithm of the ratio of a run time to the expected one. The
+	// run time of a task that hung says nothing about other tasks.
+	maxLogDeviation = 1.5
+	// minMs is the lower limit of the times whose logarithm is taken, so that it is finite.
+	minMs = 0.1
 )
 
-// Regression is what is known of the estimates of one queue. The zero Regression believes them.
+// Regression relates the estimates of one queue to the run times. The zero Regression leaves
+// estimates as they are.
 type Regression struct {
-	middle              float64 // mean logarithm of the estimates that came
-	came                float64 // how many, up to memory
-	meanX, meanY        float64 // of those that ended: estimate, run time
-	variance, covariant float64
-	ended               float64 // how many, up to memory
+	meanEstimate         float64 // mean logarithm of all estimates
+	estimateCount        float64 // number of estimates, up to windowTasks
+	meanX, meanY         float64 // mean logarithms of estimate and run time of completed tasks
+	variance, covariance float64 // of these logarithms: of the estimate, and of both
+	runCount             float64 // number of completed tasks, up to windowTasks
 }
 
-// AddEstimate takes the estimate of a step that came in.
-func (l *Regression) AddEstimate(estimateMs float64) {
-	l.came = min(l.came+1, memory)
-	l.middle += (logOf(estimateMs) - l.middle) / l.came
+// AddEstimate adds the estimate of a step of an arriving job.
+func (r *Regression) AddEstimate(estimateMs float64) {
+	r.estimateCount = min(r.estimateCount+1, windowTasks)
+	r.meanEstimate += (logOf(estimateMs) - r.meanEstimate) / r.estimateCount
 }
 
-// AddRunTime takes how long a task took, at a target of speed 1.
-func (l *Regression) AddRunTime(estimateMs, tookMs float64) {
-	if !(tookMs > 0) || !(estimateMs > 0) {
+// AddRunTime adds a completed task: its estimate and its run time, converted to a target of
+// speed 1. Values that are not positive are ignored.
+func (r *Regression) AddRunTime(estimateMs, runMs float64) {
+	if !(runMs > 0) || !(estimateMs > 0) {
 		return
 	}
-	x, y := logOf(estimateMs), logOf(tookMs)
-	l.ended = min(l.ended+1, memory)
-	if l.ended > 1 {
-		expected := l.meanY + l.Reliability()*(x-l.meanX)
-		y = min(max(y, expected-mostSurprise), expected+mostSurprise)
+	x, y := logOf(estimateMs), logOf(runMs)
+	r.runCount = min(r.runCount+1, windowTasks)
+	if r.runCount > 1 {
+		expected := r.meanY + r.Reliability()*(x-r.meanX)
+		y = min(max(y, expected-maxLogDeviation), expected+maxLogDeviation)
 	}
-	weight := 1 / l.ended
-	dx, dy := x-l.meanX, y-l.meanY
-	l.meanX += weight * dx
-	l.meanY += weight * dy
-	l.variance += weight * (dx*(x-l.meanX) - l.variance)
-	l.covariant += weight * (dx*(y-l.meanY) - l.covariant)
+	weight := 1 / r.runCount
+	dx, dy := x-r.meanX, y-r.meanY
+	r.meanX += weight * dx
+	r.meanY += weight * dy
+	r.variance += weight * (dx*(x-r.meanX) - r.variance)
+	r.covariance += weight * (dx*(y-r.meanY) - r.covariance)
 }
 
-// Reliability returns how much of an estimate's distance from the usual one is to be believed,
-// from 0 to 1.
-func (l *Regression) Reliability() float64 {
-	slope := (believed*usualVariance + l.ended*l.covariant) / (believed*usualVariance + l.ended*l.variance)
+// Reliability returns the slope of the regression, from 0 to 1: the part of an estimate's
+// deviation from the mean that the run time is expected to show.
+func (r *Regression) Reliability() float64 {
+	slope := (priorTasks*priorVariance + r.runCount*r.covariance) / (priorTasks*priorVariance + r.runCount*r.variance)
 	return min(max(slope, 0), 1)
 }
 
-// ExpectedMs returns how long a task of that estimate is expected to take.
-func (l *Regression) ExpectedMs(estimateMs float64) float64 {
-	if l.came == 0 || !(estimateMs > 0) {
+// ExpectedMs returns the expected run time, in milliseconds at speed 1, of a task with the
+// given estimate.
+func (r *Regression) ExpectedMs(estimateMs float64) float64 {
+	if r.estimateCount == 0 || !(estimateMs > 0) {
 		return estimateMs
 	}
-	return math.Exp(l.middle + l.Reliability()*(logOf(estimateMs)-l.middle))
+	return math.Exp(r.meanEstimate + r.Reliability()*(logOf(estimateMs)-r.meanEstimate))
 }
 
-func logOf(ms float64) float64 { return math.Log(max(ms, leastMs)) }
+func logOf(ms float64) float64 { return math.Log(max(ms, minMs)) }
--- a/internal/scheduler/calibration/calibration_test.go
+++ b/internal/scheduler/calibration/calibration_test.go
@@ -8,107 +8,107 @@
 	. "github.com/onsi/gomega"
 )
 
-// load is a queue whose tasks take usualMs in the middle, with spreads of run times and of
-// the estimates' errors as standard deviations of logarithms.
-type load struct {
-	usualMs, spread, errors float64
+// workload generates the tasks of one queue. The spreads are the standard deviations of the
+// logarithms of run times and of the errors of their estimates.
+type workload struct {
+	medianMs, runSpread, errorSpread float64
 }
 
-func (l load) draw(r *rand.Rand) (estimateMs, tookMs float64) {
-	tookMs = l.usualMs * math.Exp(l.spread*r.NormFloat64())
-	return tookMs * math.Exp(l.errors*r.NormFloat64()), tookMs
+func (w workload) draw(r *rand.Rand) (estimateMs, runMs float64) {
+	runMs = w.medianMs * math.Exp(w.runSpread*r.NormFloat64())
+	return runMs * math.Exp(w.errorSpread*r.NormFloat64()), runMs
 }
 
-// play teaches a line with a load and returns the mean error of its later corrections and of
-// the estimates as they came, as logarithms.
-func play(l load, tasks int) (corrected, declared float64) {
+// simulate feeds a workload into a Regression. It returns the mean absolute logarithmic
+// errors, over the second half of the tasks, of the corrected estimates and of the declared ones.
+func simulate(w workload, tasks int) (corrected, declared float64) {
 	r := rand.New(rand.NewPCG(1, 1))
-	var line Regression
-	counted := 0.0
+	var regression Regression
+	count := 0.0
 	for i := range tasks {
-		estimate, took := l.draw(r)
-		line.AddEstimate(estimate)
+		estimate, run := w.draw(r)
+		regression.AddEstimate(estimate)
 		if i >= tasks/2 {
-			corrected += math.Abs(math.Log(line.ExpectedMs(estimate) / took))
-			declared += math.Abs(math.Log(estimate / took))
-			counted++
+			corrected += math.Abs(math.Log(regression.ExpectedMs(estimate) / run))
+			declared += math.Abs(math.Log(estimate / run))
+			count++
 		}
-		line.AddRunTime(estimate, took)
+		regression.AddRunTime(estimate, run)
 	}
-	return corrected / counted, declared / counted
+	return corrected / count, declared / count
 }
 
-// Callers' estimates are off by two fifths at random. Believed as they come, every fourth
-// job is thought to need under three quarters of what it needs, and is turned away under
-// load although it could be in time. The corrected ones must be clearly closer.
+// Guards against jobs that are refused under load although they could be in time: with
+// estimates that are off by two fifths at random, every fourth job would be expected to take
+// less than three quarters of its run time. Corrected estimates must be clearly closer.
 func TestRandomErrorsShrink(t *testing.T) {
-	for _, usualMs := range []float64{5, 60, 900, 12_000} {
-		corrected, declared := play(load{usualMs, 0.4, 0.4}, 2000)
-		NewWithT(t).Expect(corrected).To(BeNumerically("<", 0.8*declared), "tasks of %v ms", usualMs)
+	for _, medianMs := range []float64{5, 60, 900, 12_000} {
+		corrected, declared := simulate(workload{medianMs, 0.4, 0.4}, 2000)
+		NewWithT(t).Expect(corrected).To(BeNumerically("<", 0.8*declared), "tasks of %v ms", medianMs)
 	}
 }
 
-// Tasks of one queue take nearly the same time, and estimates of them say nothing: the
-// usual time is the better guess.
-func TestWorthlessEstimatesAreNotBelieved(t *testing.T) {
-	corrected, declared := play(load{200, 0.05, 0.7}, 2000)
+// All tasks of the queue take nearly the same time, so the differences between their
+// estimates are noise and the mean is the better prediction.
+func TestUninformativeEstimatesAreIgnored(t *testing.T) {
+	corrected, declared := simulate(workload{200, 0.05, 0.7}, 2000)
 	NewWithT(t).Expect(corrected).To(BeNumerically("<", 0.35*declared))
 }
 
-// Estimates that are right are left as they are, also where tasks of milliseconds and of
-// seconds share a queue: a rule that pulls to the middle would spoil them.
-func TestRightEstimatesAreKept(t *testing.T) {
+// Guards against a correction that shrinks accurate estimates towards the mean where tasks
+// of milliseconds and of seconds share a queue.
+func TestAccurateEstimatesAreKept(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 2))
-	var line Regression
+	var regression Regression
 	for range 2000 {
 		ms := []float64{40, 4000}[r.IntN(2)] * math.Exp(0.1*r.NormFloat64())
-		line.AddEstimate(ms)
-		line.AddRunTime(ms, ms)
+		regression.AddEstimate(ms)
+		regression.AddRunTime(ms, ms)
 	}
 	g := NewWithT(t)
-	g.Expect(line.ExpectedMs(40)).To(BeNumerically("~", 40, 1))
-	g.Expect(line.ExpectedMs(4000)).To(BeNumerically("~", 4000, 80))
+	g.Expect(regression.ExpectedMs(40)).To(BeNumerically("~", 40, 1))
+	g.Expect(regression.ExpectedMs(4000)).To(BeNumerically("~", 4000, 80))
 }
 
-// Speeds are measured by estimates, so a target that takes twice as long as all estimates
-// say is a slow target. The line must not answer by calling the tasks long: targets and
-// estimates would drive each other away.
-func TestLevelIsLeftToTheTargets(t *testing.T) {
-	var line Regression
+// A target that takes twice as long as all estimates is a slow target, because speeds are
+// measured against estimates. Guards against a correction that also lengthens the estimates:
+// measured speeds and estimates would then drift away together.
+func TestSystematicErrorIsLeftToTargetSpeeds(t *testing.T) {
+	var regression Regression
 	r := rand.New(rand.NewPCG(3, 3))
 	for range 2000 {
-		estimate, took := load{100, 0.4, 0.4}.draw(r)
-		line.AddEstimate(estimate)
-		line.AddRunTime(estimate, 2*took)
+		estimate, run := workload{100, 0.4, 0.4}.draw(r)
+		regression.AddEstimate(estimate)
+		regression.AddRunTime(estimate, 2*run)
 	}
-	NewWithT(t).Expect(line.ExpectedMs(100)).To(BeNumerically("~", 100, 8))
+	NewWithT(t).Expect(regression.ExpectedMs(100)).To(BeNumerically("~", 100, 8))
 }
 
-// One task in twenty hangs a hundred times as long as it should. What is known of the
-// others must not go with it.
-func TestHungTasksTeachLittle(t *testing.T) {
-	var line Regression
+// One task in twenty hangs and takes a hundred times its run time. Guards against such tasks
+// distorting the estimates of the others.
+func TestHungTasksHaveLittleWeight(t *testing.T) {
+	var regression Regression
 	r := rand.New(rand.NewPCG(4, 4))
 	for i := range 2000 {
-		estimate, took := load{100, 0.4, 0.2}.draw(r)
-		line.AddEstimate(estimate)
+		estimate, run := workload{100, 0.4, 0.2}.draw(r)
+		regression.AddEstimate(estimate)
 		if i%20 == 0 {
-			took *= 100
+			run *= 100
 		}
-		line.AddRunTime(estimate, took)
+		regression.AddRunTime(estimate, run)
 	}
-	NewWithT(t).Expect(line.Reliability()).To(BeNumerically("~", 0.8, 0.2))
+	NewWithT(t).Expect(regression.Reliability()).To(BeNumerically("~", 0.8, 0.2))
 }
 
-// Nothing was seen yet, or what came makes no sense.
-func TestUnknownEstimatesAreBelieved(t *testing.T) {
+// Covers queues without completed tasks, and estimates and run times that are invalid.
+func TestEstimatesWithoutHistoryAreKept(t *testing.T) {
 	g := NewWithT(t)
-	var line Regression
-	g.Expect(line.ExpectedMs(70)).To(Equal(70.0))
-	line.AddRunTime(0, 10)
-	line.AddRunTime(10, 0)
-	line.AddRunTime(10, math.NaN())
-	line.AddEstimate(50)
-	g.Expect(line.ExpectedMs(0)).To(Equal(0.0))
-	g.Expect(line.ExpectedMs(70)).To(BeNumerically("~", 70, 1e-6))
+	var regression Regression
+	g.Expect(regression.ExpectedMs(70)).To(Equal(70.0))
+	regression.AddRunTime(0, 10)
+	regression.AddRunTime(10, 0)
+	regression.AddRunTime(10, math.NaN())
+	regression.AddEstimate(50)
+	g.Expect(regression.ExpectedMs(0)).To(Equal(0.0))
+	g.Expect(regression.ExpectedMs(70)).To(BeNumerically("~", 70, 1e-6))
 }
