--- a/internal/scheduler/comeback/comeback.go
+++ b/internal/scheduler/comeback/comeback.go
@@ -1,88 +1,91 @@
-// Package comeback tells refused callers when to come back.
+// Package comeback schedules the retries of refused callers: it determines the Retry-After of
+// each refusal.
 //
-// The load it answers: a burst beyond what the targets can do, whose refused callers all come
-// back when they are told to.
+// In a burst beyond the capacity of the targets, callers that are all given the same short
+// Retry-After return together with the new arrivals of the next second. Most are refused again,
+// each answer takes its caller several attempts, and a caller that observes the Retry-After is
+// served no better than one that doesn't.
 //
-// What goes wrong without it: told the same short time, everybody who was refused meets the next
-// second's callers, most are refused again, and each answer costs its caller several tries. A
-// caller that waits as told fares no better than one that doesn't.
-//
-// Callers are given seconds to come back in, no more a second than a part of what was let in
-// lately. The rest is left to callers that come for the first time. Less urgent callers may fill
-// a second only in part, so that more urgent ones find an earlier one. No caller is asked before
-// the queue that refused it is expected to have room.
+// Each refused caller is assigned a second for its retry. The number of callers per second is
+// limited to a share of the recent admission rate, which leaves the rest to first attempts. Less
+// urgent callers can only use part of that share, so that more urgent ones get an earlier second.
+// No caller is asked to retry before the queue that refused it is expected to have capacity.
 package comeback
 
 import "time"
 
 const (
-	// returnShare is the part of a second's jobs that callers who were refused may be given, and
-	// lessShare is how much of that the less urgent may fill, for each step of priority.
-	returnShare = 0.4
-	lessShare   = 0.7
-	// leastPerSecond lets callers come back where nothing was let in lately.
-	leastPerSecond = 2
-	// rateWeight is the weight of the last second in the rate of jobs let in.
+	// retryShare is the share of the admission rate that is assigned to retries. Each step of
+	// priority below the most urgent multiplies it by priorityFactor.
+	retryShare     = 0.4
+	priorityFactor = 0.7
+	// minPerSecond is the number of retries per second that are scheduled even if no job was
+	// admitted recently.
+	minPerSecond = 2
+	// rateWeight is the weight of the latest second in the moving average of the admission rate.
 	rateWeight = 0.5
-	// least and most bound what a caller is told.
-	least = time.Second
-	most  = 10 * time.Second
+	// minWait and maxWait bound the result of RetryAfter.
+	minWait = time.Second
+	maxWait = 10 * time.Second
 )
 
-// Schedule has the seconds that callers were given. The zero Schedule is empty.
+// Schedule counts the retries assigned to each of the next seconds. The zero Schedule is empty.
 type Schedule struct {
-	second  int64 // that is counted now, in Unix seconds
-	letIn   float64
-	rate    float64       // jobs let in a second
-	planned map[int64]int // callers given each second
+	currentSecond int64         // Unix time
+	admitted      float64       // jobs admitted in currentSecond
+	admissionRate float64       // moving average of jobs admitted per second
+	scheduled     map[int64]int // number of retries by Unix second
 }
 
-// RecordAdmission takes a job that was let in.
-func (p *Schedule) RecordAdmission(now time.Time) {
-	p.pass(now)
-	p.letIn++
+// RecordAdmission counts a job admitted at now.
+func (s *Schedule) RecordAdmission(now time.Time) {
+	s.advance(now)
+	s.admitted++
 }
 
-// RetryAfter returns how long a caller that is refused now should wait. The queue that refused it is
-// expected to have room after lag; priority 0 is the most urgent.
-func (p *Schedule) RetryAfter(now time.Time, lag time.Duration, priority int) time.Duration {
-	p.pass(now)
-	limit := p.limit(priority)
-	first, last := now.Add(max(lag, least)).Unix(), now.Add(most).Unix()
+// RetryAfter returns how long a caller that is refused at now should wait, and schedules its
+// retry. The queue that refused it is expected to have capacity after lag; priority 0 is the most
+// urgent. The result is from minWait to maxWait.
+func (s *Schedule) RetryAfter(now time.Time, lag time.Duration, priority int) time.Duration {
+	s.advance(now)
+	limit := s.limit(priority)
+	first, last := now.Add(max(lag, minWait)).Unix(), now.Add(maxWait).Unix()
 	at := first
-	for at < last && p.planned[at] >= limit {
+	for at < last && s.scheduled[at] >= limit {
 		at++
 	}
-	p.planned[at]++
-	return min(max(lag, least)+time.Duration(at-first)*time.Second, most)
+	s.scheduled[at]++
+	return min(max(lag, minWait)+time.Duration(at-first)*time.Second, maxWait)
 }
 
-// limit is how many callers of that urgency a second may be given to.
-func (p *Schedule) limit(priority int) int {
-	share := returnShare
+// limit returns the number of retries in a second up to which callers of the priority can be
+// scheduled in it.
+func (s *Schedule) limit(priority int) int {
+	share := retryShare
 	for range min(priority, 3) {
-		share *= lessShare
+		share *= priorityFactor
 	}
-	return max(leastPerSecond, int(share*max(p.rate, p.letIn)))
+	return max(minPerSecond, int(share*max(s.admissionRate, s.admitted)))
 }
 
-// pass begins another second.
-func (p *Schedule) pass(now time.Time) {
+// advance moves to the second of now: it updates the admission rate with the seconds that have
+// passed and drops their retries.
+func (s *Schedule) advance(now time.Time) {
 	second := now.Unix()
-	if p.planned == nil {
-		p.planned = map[int64]int{}
+	if s.scheduled == nil {
+		s.scheduled = map[int64]int{}
 	}
-	if second <= p.second {
+	if second <= s.currentSecond {
 		return
 	}
-	for at := p.second; at < second && at-p.second < 2*int64(most/time.Second); at++ {
-		p.rate += rateWeight * (p.letIn - p.rate)
-		p.letIn = 0
+	for at := s.currentSecond; at < second && at-s.currentSecond < 2*int64(maxWait/time.Second); at++ {
+		s.admissionRate += rateWeight * (s.admitted - s.admissionRate)
+		s.admitted = 0
 	}
-	p.second = second
-	for at := range p.planned {
+	s.currentSecond = second
+	for at := range s.scheduled {
 		if at < second {
-			delete(p.planned, at)
+			delete(s.scheduled, at)
 		}
 	}
 }
--- a/internal/scheduler/comeback/comeback_test.go
+++ b/internal/scheduler/comeback/comeback_test.go
@@ -8,84 +8,85 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load of this file: callers come at 0.8 of what can be served, for some seconds at 2.5 times
-// as many, and who is refused comes back as told, up to three times.
+// The simulation in this file: callers arrive at 0.8 of the capacity, and for some seconds at 2.5
+// times that rate. A refused caller retries after the Retry-After it was given, up to three times.
 
 const (
-	capacity   = 100 // jobs a second
-	usual      = 80
-	burstFrom  = 5
-	burstTo    = 9
-	lastCaller = 15
-	mostTries  = 4
+	capacity    = 100 // jobs per second
+	usualRate   = 80  // arrivals per second
+	burstStart  = 5   // seconds, as are the next two
+	burstEnd    = 9
+	arrivalsEnd = 15
+	maxTries    = 4
 )
 
-var begin = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
 type caller struct {
 	tries    int
 	priority int
 }
 
-// outcome is what callers got.
+// outcome counts callers and attempts of a simulation.
 type outcome struct {
-	callers, served, secondTry, tries int
-	servedUrgent, urgent              int
+	callers, served, servedSecondTry, tries int
+	servedUrgent, urgent                    int
 }
 
-// play lets callers come, and asks after for how long a refused one waits.
-func play(letIn func(time.Time), after func(time.Time, int) time.Duration) outcome {
+// simulate runs the simulation. It reports each admission to recordAdmission, and takes the wait
+// of each refused caller, given its priority, from retryAfter.
+func simulate(recordAdmission func(time.Time), retryAfter func(time.Time, int) time.Duration) outcome {
 	x := rand.New(rand.NewPCG(1, 1))
 	var got outcome
 	due := map[int][]caller{}
-	const perSecond = 50 // turns
-	room := 0.0
-	for turn := range (lastCaller + 60) * perSecond {
-		now := begin.Add(time.Duration(turn) * time.Second / perSecond)
-		second := turn / perSecond
-		room = min(room+capacity/float64(perSecond), capacity/10)
-		coming := due[turn]
-		delete(due, turn)
+	const perSecond = 50 // steps
+	tokens := 0.0        // of a token bucket that is filled at the capacity
+	for step := range (arrivalsEnd + 60) * perSecond {
+		now := startTime.Add(time.Duration(step) * time.Second / perSecond)
+		second := step / perSecond
+		tokens = min(tokens+capacity/float64(perSecond), capacity/10)
+		arriving := due[step]
+		delete(due, step)
 		for range arrivals(x, second, perSecond) {
 			c := caller{priority: x.IntN(3)}
 			got.callers++
 			if c.priority == 0 {
 				got.urgent++
 			}
-			coming = append(coming, c)
+			arriving = append(arriving, c)
 		}
-		x.Shuffle(len(coming), func(i, j int) { coming[i], coming[j] = coming[j], coming[i] })
-		for _, c := range coming {
+		x.Shuffle(len(arriving), func(i, j int) { arriving[i], arriving[j] = arriving[j], arriving[i] })
+		for _, c := range arriving {
 			c.tries++
 			got.tries++
-			if room >= 1 {
-				room--
-				letIn(now)
+			if tokens >= 1 {
+				tokens--
+				recordAdmission(now)
 				got.served++
 				if c.tries == 2 {
-					got.secondTry++
+					got.servedSecondTry++
 				}
 				if c.priority == 0 {
 					got.servedUrgent++
 				}
 				continue
 			}
-			if c.tries < mostTries {
-				seconds := (after(now, c.priority) + time.Second - 1) / time.Second
-				due[turn+int(seconds)*perSecond] = append(due[turn+int(seconds)*perSecond], c)
+			if c.tries < maxTries {
+				seconds := (retryAfter(now, c.priority) + time.Second - 1) / time.Second
+				due[step+int(seconds)*perSecond] = append(due[step+int(seconds)*perSecond], c)
 			}
 		}
 	}
 	return got
 }
 
-// arrivals draws how many callers come for the first time in a turn.
+// arrivals draws the number of first attempts in a step.
 func arrivals(x *rand.Rand, second, perSecond int) int {
-	rate := float64(usual)
+	rate := float64(usualRate)
 	switch {
-	case second >= lastCaller:
+	case second >= arrivalsEnd:
 		return 0
-	case second >= burstFrom && second < burstTo:
+	case second >= burstStart && second < burstEnd:
 		rate *= 2.5
 	}
 	mean := rate / float64(perSecond)
@@ -96,31 +97,31 @@
 	return n
 }
 
-// Guards against refused callers who all come back at once and are refused again.
-func TestCallersWhoComeBackAsToldAreServed(t *testing.T) {
+// Guards against refused callers that all retry at once and are refused again.
+func TestScheduledRetriesAreServed(t *testing.T) {
 	g := NewWithT(t)
-	constant := play(func(time.Time) {}, func(time.Time, int) time.Duration { return time.Second })
-	var p Schedule
-	planned := play(p.RecordAdmission, func(now time.Time, priority int) time.Duration { return p.RetryAfter(now, 0, priority) })
-	t.Logf("constant %+v", constant)
-	t.Logf("planned  %+v", planned)
+	constant := simulate(func(time.Time) {}, func(time.Time, int) time.Duration { return time.Second })
+	var s Schedule
+	scheduled := simulate(s.RecordAdmission, func(now time.Time, priority int) time.Duration { return s.RetryAfter(now, 0, priority) })
+	t.Logf("constant  %+v", constant)
+	t.Logf("scheduled %+v", scheduled)
 	perAnswer := func(o outcome) float64 { return float64(o.tries) / float64(o.served) }
-	g.Expect(planned.served).To(BeNumerically(">", constant.served))
-	g.Expect(perAnswer(planned)).To(BeNumerically("<", 0.9*perAnswer(constant)))
-	g.Expect(float64(planned.servedUrgent) / float64(planned.urgent)).To(BeNumerically(">=", float64(planned.served)/float64(planned.callers)))
+	g.Expect(scheduled.served).To(BeNumerically(">", constant.served))
+	g.Expect(perAnswer(scheduled)).To(BeNumerically("<", 0.9*perAnswer(constant)))
+	g.Expect(float64(scheduled.servedUrgent) / float64(scheduled.urgent)).To(BeNumerically(">=", float64(scheduled.served)/float64(scheduled.callers)))
 }
 
-// Guards against callers who are asked back before the queue that refused them has room.
-func TestNobodyIsAskedBackBeforeThereIsRoom(t *testing.T) {
-	var p Schedule
-	NewWithT(t).Expect(p.RetryAfter(begin, 4*time.Second, 0)).To(BeNumerically(">=", 4*time.Second))
+// Guards against a Retry-After that ends before the queue that refused the caller has capacity.
+func TestRetryWaitCoversQueueDelay(t *testing.T) {
+	var s Schedule
+	NewWithT(t).Expect(s.RetryAfter(startTime, 4*time.Second, 0)).To(BeNumerically(">=", 4*time.Second))
 }
 
-// Guards against callers who are told to wait for ever while nothing is let in.
+// Guards against a Retry-After that grows without bound while nothing is admitted.
 func TestWaitsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	var p Schedule
+	var s Schedule
 	for range 10_000 {
-		g.Expect(p.RetryAfter(begin, 0, 2)).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
+		g.Expect(s.RetryAfter(startTime, 0, 2)).To(And(BeNumerically(">=", minWait), BeNumerically("<=", maxWait)))
 	}
 }
