--- a/internal/scheduler/earliest/earliest.go
+++ b/internal/scheduler/earliest/earliest.go
@@ -1,72 +1,73 @@
-// Package earliest places the tasks of a job where they are expected to end early, and
-// before their caller's objective, on targets whose room is an amount of processors and
-// memory.
+// Package earliest selects the target of each task of a job: one on which the task is
+// expected to end early, and before the caller's objective. The capacity of targets is an
+// amount of processors and memory.
 //
-// The load it answers: jobs of a few to some tens of tasks that earn by their last
-// task, on targets whose speeds differ by more than two, with several entries that
-// place at the same time and know of each other's orders a few milliseconds late.
+// Jobs have a few to some tens of tasks and complete with their last task. The speeds of
+// targets differ by a factor of more than two, and several entries place tasks at the same
+// time, with a delay of a few milliseconds until they learn of each other's orders.
 //
-// What goes wrong without it: placing by free room alone puts one task of a job on a
-// slow target, and the whole job is as late as that task. Placing by speed alone
-// fills the fast targets until their queues are longer than the slow ones are slow.
-// The expected end weighs both, and as every task placed is counted in at once, the
-// tasks of one job spread by themselves. The end alone still lets work wait at the fast
-// targets while slow ones that would be in time are idle: callers see that as late
-// answers while targets have room.
+// Placement by free capacity alone puts one task of a job on a slow target and delays the
+// whole job by it. Placement by speed alone fills the fast targets until waiting for them
+// takes longer than running on a slow one. The expected end accounts for both, and because
+// each placed task is included at once, the tasks of one job are spread over targets. But
+// by the expected end alone, tasks would wait for fast targets while slow ones that would
+// meet the objective are idle, and callers would get late answers while capacity is free.
+// The cost in Choose therefore adds penalties for waiting and for occupied targets.
 package earliest
 
 import "github.com/camphorrack/camphorrack/internal/job"
 
-// None is the index of no candidate.
+// None is the Choice.Index if no candidate is suitable.
 const None = -1
 
-// Candidate is a target as a placement sees it.
+// Candidate is the state of a target that a placement considers.
 type Candidate struct {
 	Free        job.Demand
 	Total       job.Demand
-	WaitMs      float64 // predicted wait where there is no room now
-	AddedWaitMs float64 // the same for what was placed since the prediction
-	Speed       float64
-	RoundTripMs float64 // to the target and back
-	FailureRate float64 // part of what it ran lately that failed, 0 to 1
-	StepTasks   int     // tasks of the step that are placed here
-	// BodyTransmitMs is how long the entry's link takes to send the job's body, for a candidate that
-	// has no task of the step yet.
+	WaitMs      float64 // predicted wait for capacity if the task does not fit now
+	AddedWaitMs float64 // wait added by tasks placed since that prediction
+	Speed       float64 // relative to a target of speed 1
+	RoundTripMs float64 // network time to the target and back
+	FailureRate float64 // share of its recent tasks that failed, 0 to 1
+	StepTasks   int     // number of tasks of the step placed on the target
+	// BodyTransmitMs is the time for which the entry's link is busy sending the job's body. It
+	// applies to the first task of the step on the target.
 	BodyTransmitMs float64
 }
 
-// Task is what is to be placed.
+// Task is a task to be placed.
 type Task struct {
 	Demand     job.Demand
-	EstimateMs float64
-	// RemainingMs is the time from now by which the task must end for its job to be in time.
+	EstimateMs float64 // expected run time at speed 1
+	// RemainingMs is the time left until the task must end for its job to meet the objective.
 	RemainingMs float64
-	// MaxPerTarget bounds the step's tasks on one target; 0: no bound.
+	// MaxPerTarget bounds the number of the step's tasks on one target; 0: no bound.
 	MaxPerTarget int
-	// RemoteFactor is how many times longer the task takes where Near says false.
+	// RemoteFactor multiplies the run time on candidates for which IsLocal is false.
 	RemoteFactor float64
-	// Fits reports whether a candidate may take the task at all; nil means all.
+	// Fits reports whether the candidate with index i is eligible; nil: all are.
 	Fits func(i int) bool
-	// IsLocal reports whether a candidate is near the task's data; nil means all are.
+	// IsLocal reports whether the candidate with index i is near the task's data; nil: all are.
 	IsLocal func(i int) bool
 }
 
-// failedMs is what a target that fails everything is put back by, in expected time. A
+// failurePenaltyMs is the cost, in expected time, of a target on which every task fails. A
 // failed task costs its run, the way back and a second run: about two of the longest
-// tasks. A target that fails fast looks idle and would draw all work without it.
-const failedMs = 2000
+// tasks. Without the penalty, a target that fails fast looks idle and attracts all work.
+const failurePenaltyMs = 2000
 
-// Choice is where a task goes.
+// Choice is the result of a placement.
 type Choice struct {
-	Index   int // None where no candidate may take it
-	EndMs   float64
-	StartMs float64 // the wait there that EndMs reckons with
-	FitsNow bool    // there is room for it now
+	Index   int     // in the candidates; None if no candidate is suitable
+	EndMs   float64 // expected time until the task's result arrives
+	StartMs float64 // the wait for capacity included in EndMs
+	FitsNow bool    // the target has free capacity for the task now
 }
 
-// Choose returns the candidate on which it costs least to place the task: one on which it
-// is expected to end early and in time. Entries that see the same loads don't all meet on
-// one target: each counts its own orders in, and what is taken puts a target back.
+// Choose returns the candidate with the lowest cost for the task: one on which the task is
+// expected to end early and in time. Entries that know the same loads don't all choose the
+// same target, because each includes its own orders and occupied capacity adds to the cost.
+// The caller calls Reserve on the chosen candidate before it places the next task.
 func Choose(t Task, candidates []Candidate) Choice {
 	best, bestCost := Choice{Index: None}, 0.0
 	for i := range candidates {
@@ -76,7 +77,7 @@
 		}
 		startMs, runMs := c.startMs(&t.Demand), c.runMs(&t, i)
 		end := c.RoundTripMs + startMs + runMs + c.TransmitMs()
-		cost := endCostMs(end, runMs, t.RemainingMs) + c.FailureRate*failedMs + waitAversion*startMs + c.crowdMs(&t) + sendAversion*c.TransmitMs()
+		cost := endCostMs(end, runMs, t.RemainingMs) + c.FailureRate*failurePenaltyMs + waitPenalty*startMs + c.occupancyCostMs(&t) + transmitPenalty*c.TransmitMs()
 		if best.Index == None || cost < bestCost {
 			best, bestCost = Choice{Index: i, EndMs: end, StartMs: startMs, FitsNow: t.Demand.Fits(c.Free)}, cost
 		}
@@ -84,32 +85,33 @@
 	return best
 }
 
-// crowdingMs and crowdingShare are what a target's last room is put back by, against
-// its first: a time, and a part of the task's own. Several entries place at the same
-// time on loads that are some milliseconds old, by speeds that are measured from
-// estimates. With the seemingly fastest target always first, they meet on it while
-// the next one is empty. Room left on each target takes up what the others place
-// meanwhile.
+// occupancyBaseMs and occupancyRunShare are the cost of a full target compared with an empty
+// one: a fixed time, and a share of the task's estimate. Several entries place tasks at the
+// same time, on load data that is some milliseconds old and with speeds measured from
+// estimates. If the apparently fastest target were always chosen first, they would collide on
+// it while the next one is empty. Free capacity on each target absorbs the tasks that other
+// entries place meanwhile.
 const (
-	crowdingMs    = 60
-	crowdingShare = 0.15
+	occupancyBaseMs   = 60
+	occupancyRunShare = 0.15
 )
 
-// waitFactor and waitMarginMs make a predicted wait longer than it is predicted, where
-// it counts towards an end: what others place meanwhile goes before it as often as not.
-// waitAversion puts a target where the task would wait back further, against one that
-// has room now, since a wait may come out much longer and a run seldom does.
+// waitFactor and waitMarginMs increase the predicted wait that is part of an expected end,
+// because about half of the tasks that other entries place meanwhile start first.
+// waitPenalty is an additional cost per unit of wait, compared with a target that has free
+// capacity, since a wait can become much longer than expected and a run rarely does.
 const (
 	waitFactor   = 1.4
 	waitMarginMs = 8
-	waitAversion = 1.5
+	waitPenalty  = 1.5
 )
 
-// sendAversion is the cost of a time for which the entry's link is taken: orders of other jobs
-// wait for it.
-const sendAversion = 4
+// transmitPenalty is the cost per unit of time for which the entry's link is busy, because
+// orders of other jobs wait for the link.
+const transmitPenalty = 4
 
-// TransmitMs is how long the entry's link takes to send a task's order.
+// TransmitMs returns how long the entry's link is busy sending the task's order: 0 if the job's
+// body is sent to the target already.
 func (c *Candidate) TransmitMs() float64 {
 	if c.StepTasks > 0 {
 		return 0
@@ -117,29 +119,32 @@
 	return c.BodyTransmitMs
 }
 
-// endShare is the cost of an end before the objective, against what crowding and waits
-// cost: whole, fast targets are crowded while slow ones that would do are idle; too small,
-// an answer comes as late as it may. overCost is the cost of each unit by which a run that
-// takes runMargin longer than expected would end past the objective.
+// endCostFactor is the cost per unit of time until the expected end, relative to the costs of
+// occupancy and waiting. At 1, fast targets fill up while slow ones that would meet the
+// objective are idle; if it is too small, answers arrive as late as the objective permits.
+// lateCostFactor is the cost per unit by which a run that takes longer than expected by the
+// share runMargin would end after the objective.
 const (
-	endShare  = 0.5
-	overCost  = 2
-	runMargin = 0.3
+	endCostFactor  = 0.5
+	lateCostFactor = 2
+	runMargin      = 0.3
 )
 
-// endCostMs is the cost of a run that ends then, with so much time left for it.
-func endCostMs(endMs, runMs, leftMs float64) float64 {
-	overMs := endMs + runMargin*runMs - leftMs
-	return endShare*endMs + overCost*max(0, overMs)
+// endCostMs returns the cost of the expected end of a run, given the time remaining until the
+// objective.
+func endCostMs(endMs, runMs, remainingMs float64) float64 {
+	lateMs := endMs + runMargin*runMs - remainingMs
+	return endCostFactor*endMs + lateCostFactor*max(0, lateMs)
 }
 
-// crowdMs is the cost of taking room on the candidate, by the part of it that is
-// taken then.
-func (c *Candidate) crowdMs(t *Task) float64 {
-	taken := c.Total.CPUMilli - c.Free.CPUMilli + t.Demand.CPUMilli
-	return (crowdingMs + crowdingShare*t.EstimateMs) * float64(taken) / float64(max(c.Total.CPUMilli, 1))
+// occupancyCostMs returns the cost of the share of the candidate's processors that is in use
+// with the task.
+func (c *Candidate) occupancyCostMs(t *Task) float64 {
+	used := c.Total.CPUMilli - c.Free.CPUMilli + t.Demand.CPUMilli
+	return (occupancyBaseMs + occupancyRunShare*t.EstimateMs) * float64(used) / float64(max(c.Total.CPUMilli, 1))
 }
 
+// runMs returns the expected run time on the candidate, which has index i.
 func (c *Candidate) runMs(t *Task, i int) float64 {
 	run := t.EstimateMs / c.Speed
 	if t.IsLocal != nil && !t.IsLocal(i) {
@@ -148,7 +153,8 @@
 	return run
 }
 
-// startMs is the expected time until the task starts, longer than predicted where it waits.
+// startMs returns the expected time until the task starts: 0 if it fits now, else the predicted
+// wait increased by waitFactor and waitMarginMs.
 func (c *Candidate) startMs(d *job.Demand) float64 {
 	if d.Fits(c.Free) {
 		return 0
@@ -156,7 +162,7 @@
 	return waitFactor*(c.WaitMs+c.AddedWaitMs) + waitMarginMs
 }
 
-// Reserve counts a placed task in.
+// Reserve includes a task placed on the candidate, which has index i, in the candidate's state.
 func (c *Candidate) Reserve(t Task, i int) {
 	c.StepTasks++
 	if !t.Demand.Fits(c.Free) {
--- a/internal/scheduler/earliest/earliest_test.go
+++ b/internal/scheduler/earliest/earliest_test.go
@@ -14,9 +14,9 @@
 	return Candidate{Free: cores(16), Total: cores(16), Speed: speed}
 }
 
-// A job of eight tasks meets one fast target and three slow ones. All on the fast one,
-// the last would wait; on the slow ones alone, all would be late. Each goes where it
-// ends earliest, the tasks before it counted in.
+// A job has eight tasks, the fleet one fast target and three slow ones. With all tasks on the
+// fast target, the last would wait; on the slow ones alone, all would be late. Guards against
+// placements that do not include the tasks placed before.
 func TestTasksOfAJobSpread(t *testing.T) {
 	g := NewWithT(t)
 	candidates := []Candidate{idle(2), idle(0.8), idle(0.8), idle(0.8)}
@@ -30,12 +30,12 @@
 		candidates[c.Index].Reserve(task, c.Index)
 		count[c.Index]++
 	}
-	g.Expect(count[0]).To(Equal(4), "as many as the fast one has room for")
+	g.Expect(count[0]).To(Equal(4), "the capacity of the fast target")
 	g.Expect(count[1:]).To(HaveEach(BeNumerically(">", 0)))
 }
 
-// A slow target is idle and fast ones are busy. A short wait for a fast one is better
-// than four times the run; a long one is not.
+// A slow target is idle and the fast one is busy. A short wait for the fast one is better than
+// a run that takes almost four times as long; a long wait is not.
 func TestSlowTargetIsUsedOnlyWhereItEndsEarlier(t *testing.T) {
 	g := NewWithT(t)
 	fast, slow := idle(1), idle(0.28)
@@ -47,10 +47,10 @@
 	g.Expect(Choose(task, []Candidate{slow, fast}).Index).To(Equal(0))
 }
 
-// Targets of one kind seem to differ by a tenth, because speeds are measured from rough
-// estimates. Work must not pile up on the seemingly fastest: the entries that place at
-// the same moment would all meet there.
-func TestSmallDifferencesOfSpeedDontDrawAllWork(t *testing.T) {
+// The measured speeds of identical targets differ by a tenth, because they are derived from
+// rough estimates. Guards against concentrating work on the apparently fastest target, where
+// all entries that place tasks at the same moment would collide.
+func TestSmallSpeedDifferencesDontConcentrateTasks(t *testing.T) {
 	g := NewWithT(t)
 	candidates := []Candidate{idle(1.1), idle(1.0), idle(1.0)}
 	task := Task{Demand: cores(2), EstimateMs: 100}
@@ -63,8 +63,9 @@
 	g.Expect(count).To(HaveEach(BeNumerically(">=", 2)))
 }
 
-// A target fails everything at once and so is always idle. It must not draw the work.
-func TestFailingFastDoesNotLookFast(t *testing.T) {
+// Guards against a target that fails its tasks immediately, is therefore always idle, and
+// attracts all work.
+func TestFailingTargetIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	failing, busy := idle(4), idle(1)
 	failing.FailureRate = 0.5
@@ -72,9 +73,9 @@
 	g.Expect(Choose(Task{Demand: cores(2), EstimateMs: 100}, []Candidate{failing, busy}).Index).To(Equal(1))
 }
 
-// Data lies on one rack. Away from it the task takes half as long again, which is worth
-// less than a long wait.
-func TestDataIsNearWhereThatEndsEarlier(t *testing.T) {
+// The task's data is on one rack. On another one the task takes half as long again, which is
+// better than a long wait but worse than none.
+func TestDataLocalityIsWeighedAgainstWaiting(t *testing.T) {
 	g := NewWithT(t)
 	near, far := idle(1), idle(1)
 	task := Task{Demand: cores(2), EstimateMs: 100, RemoteFactor: 1.5, IsLocal: func(i int) bool { return i == 1 }}
@@ -83,7 +84,8 @@
 	g.Expect(Choose(task, []Candidate{far, near}).Index).To(Equal(0))
 }
 
-// Nothing can hold the task, or the step has as many tasks on each target as it may.
+// Covers tasks that exceed every target, steps that have reached MaxPerTarget on each target, and
+// an empty fleet.
 func TestNoCandidate(t *testing.T) {
 	g := NewWithT(t)
 	used := idle(1)
@@ -93,9 +95,9 @@
 	g.Expect(Choose(Task{Demand: cores(1)}, nil).Index).To(Equal(None))
 }
 
-// Fast targets are nearly full, slow ones are idle and would be in time. Sent to the fast
-// ones for their earlier end, tasks take the last room there that others need, and wait a
-// moment later while a third of the fleet does nothing.
+// The fast target is nearly full, the slow one is idle and would meet the objective. Guards
+// against tasks that use up the last capacity of fast targets for an earlier end than needed:
+// the next tasks would wait for it while a third of the fleet is idle.
 func TestIdleTargetsThatAreInTimeAreUsed(t *testing.T) {
 	g := NewWithT(t)
 	fast, slow := idle(1.8), idle(0.8)
@@ -103,5 +105,5 @@
 	task := Task{Demand: cores(2), EstimateMs: 200, RemainingMs: 380}
 	g.Expect(Choose(task, []Candidate{fast, slow}).Index).To(Equal(1))
 	task.RemainingMs = 250
-	g.Expect(Choose(task, []Candidate{fast, slow}).Index).To(Equal(0), "the slow one would be late")
+	g.Expect(Choose(task, []Candidate{fast, slow}).Index).To(Equal(0), "the slow target would be late")
 }
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -17,10 +17,10 @@
 	cat <<'TABLE'
 corrected-estimates|internal/dispatch/intake.go|s/j = c.calibrated(submitted)/_ = c.calibrated/
 wait-factor|internal/scheduler/earliest/earliest.go|s/waitFactor   = 1.4/waitFactor = 1.0/;s/waitMarginMs = 8/waitMarginMs = 0/
-wait-aversion|internal/scheduler/earliest/earliest.go|s/waitAversion = 1.5/waitAversion = 0/
-crowding|internal/scheduler/earliest/earliest.go|s/crowdingMs    = 60/crowdingMs = 0/;s/crowdingShare = 0.15/crowdingShare = 0/
+wait-aversion|internal/scheduler/earliest/earliest.go|s/waitPenalty  = 1.5/waitPenalty = 0/
+crowding|internal/scheduler/earliest/earliest.go|s/occupancyBaseMs   = 60/occupancyBaseMs = 0/;s/occupancyRunShare = 0.15/occupancyRunShare = 0/
 jitter|internal/scheduler/earliest/earliest.go|s/jitterShare = 0.06/jitterShare = 0/
-failure-rate|internal/scheduler/earliest/earliest.go|s/failedMs = 2000/failedMs = 0/
+failure-rate|internal/scheduler/earliest/earliest.go|s/failurePenaltyMs = 2000/failurePenaltyMs = 0/
 recent-speed|internal/runs/rating.go|s/changedFactor = 1.6/changedFactor = 1e9/
 steady-speed|internal/runs/rating.go|s/changedFactor = 1.6/changedFactor = 0/
 overdue-speed|internal/runs/load.go|s/const overdueFactor = 1.8/const overdueFactor = 1e9/
