--- a/internal/scheduler/estimation/estimator_test.go
+++ b/internal/scheduler/estimation/estimator_test.go
@@ -24,8 +24,9 @@
 		e = New()
 		r = rand.New(rand.NewPCG(1, 2))
 	})
-	// feed lets every agent run tasks of a class whose declarations are off by
-	// the factor off and at random by e to the power of noise.
+	// feed observes n tasks of a class, spread over agents with the given speeds. Their
+	// declarations are too short by the factor off, and off at random by e to the power of
+	// noise.
 	feed := func(n int, class string, off, noise float64, speeds []float64) {
 		for i := range n {
 			agent := i % len(speeds)
@@ -35,26 +36,26 @@
 		}
 	}
 
-	// A class declares a tenth of what it takes. Believed, its jobs always go
-	// first and honest callers wait behind them.
-	It("learns a class that is declared ten times too short", func() {
+	// Guards against a class that declares a tenth of its run times, so that its jobs would
+	// always be ordered before accurately declared ones.
+	It("corrects a class that is declared ten times too short", func() {
 		feed(400, "honest", 1, 0.2, []float64{1, 1, 1, 1})
 		feed(400, "short", 10, 0.2, []float64{1, 1, 1, 1})
 		Expect(e.TaskMs("short", 50)).To(BeNumerically("~", 500, 120))
 		Expect(e.TaskMs("honest", 500)).To(BeNumerically("~", 500, 120))
 	})
 
-	// A target claims to be as fast as the rest and is three times slower; every
-	// declaration is off by a factor of e at random. Believed, it gets the longest
-	// tasks and their jobs end last.
-	It("tells a slow target from wrong declarations", func() {
+	// A target declares the speed of the others but is three times slower, while every
+	// declaration is off by a factor of e at random. With its declared speed it would receive
+	// the longest tasks, and their jobs would end last.
+	It("distinguishes a slow target from wrong declarations", func() {
 		feed(2000, "noisy", 1, 1, []float64{1, 1.0 / 3, 1, 1})
 		Expect(e.Speed(0, 1) / e.Speed(1, 1)).To(BeNumerically(">", 1.8))
 	})
 
-	// A good target turns ten times slower. Until that is known it keeps getting
-	// the work meant for a fast one.
-	It("notices within two rounds of its slots that a target has turned slow", func() {
+	// Guards against a target that becomes ten times slower and still receives the work of a
+	// fast one.
+	It("detects within two rounds of its slots that a target has become slow", func() {
 		speeds := []float64{1, 1, 1, 1}
 		feed(400, "c", 1, 0.2, speeds)
 		for range 16 {
@@ -64,9 +65,9 @@
 		Expect(e.Speed(0, 1)).To(BeNumerically(">", 0.7))
 	})
 
-	// One result comes back with a wild time because its host was paused. If the
-	// estimate followed it, the next jobs of that class would be held or refused.
-	It("is not moved far by one wild value", func() {
+	// A task takes extremely long because its host was paused. If the estimate followed this
+	// outlier, the next jobs of the class would be held or refused.
+	It("is not moved far by one outlier", func() {
 		feed(400, "c", 1, 0.2, []float64{1})
 		before := e.TaskMs("c", 300)
 		e.Observe(0, "c", 300, 1, 3e6)
@@ -76,7 +77,7 @@
 		Expect(e.TaskMs("c", 300)).To(BeNumerically("<", before*1.5))
 	})
 
-	It("stands in for a missing declaration and then learns it", func() {
+	It("uses a default for a missing declaration until it has results", func() {
 		Expect(e.TaskMs("new", 0)).To(BeNumerically("==", undeclaredMs))
 		for range 50 {
 			e.Observe(0, "new", 0, 2, 1000)
@@ -84,9 +85,9 @@
 		Expect(e.TaskMs("new", 0)).To(BeNumerically("~", 2000, 500))
 	})
 
-	// Callers invent a class name per job. Were all kept, the entry would run out
-	// of memory after some days.
-	It("bounds what it remembers", func() {
+	// Guards against callers that use a new class name for each job: if all were kept, the
+	// entry would run out of memory after some days.
+	It("bounds the number of classes and removes agents", func() {
 		for i := range 3 * maxClasses {
 			e.Observe(1, fmt.Sprint(i), 100, 1, 100)
 		}
