--- a/internal/scheduler/grants/grants_test.go
+++ b/internal/scheduler/grants/grants_test.go
@@ -13,168 +13,168 @@
 	RunSpecs(t, "grants")
 }
 
-// entry is an owner as the protocol wants it: it spends credits while it has
-// work and hands back what is recalled as far as it is unspent.
+// entry is an owner that follows the protocol: it spends credits while it has waiting tasks
+// and returns recalled credits as far as they are unspent.
 type entry struct {
 	id       uint64
-	got      uint64 // credits granted
-	used     uint64
+	granted  uint64
+	spent    uint64
 	returned uint64
 	waiting  int
 	rankMs   int64
 	started  int
 }
 
-func (e *entry) unspent() int { return int(e.got - e.used - e.returned) }
+func (e *entry) unspent() int { return int(e.granted - e.spent - e.returned) }
 
 type fleet struct {
-	s       *Allocator
-	entries map[uint64]*entry
+	allocator *Allocator
+	entries   map[uint64]*entry
 }
 
 func newFleet(slots int, ids ...uint64) *fleet {
 	f := &fleet{NewAllocator(), map[uint64]*entry{}}
-	f.s.SetSlots(slots)
+	f.allocator.SetSlots(slots)
 	for _, id := range ids {
-		f.s.AddOwner(id)
+		f.allocator.AddOwner(id)
 		f.entries[id] = &entry{id: id}
 	}
 	return f
 }
 
-// settle passes changes and demands to and fro until nothing moves.
-func (f *fleet) settle() {
+// exchange delivers changes and demands between the allocator and the entries until there are
+// no more changes.
+func (f *fleet) exchange() {
 	for range 100 {
-		changes := f.s.Rebalance(nil)
+		changes := f.allocator.Rebalance(nil)
 		for _, c := range changes {
 			e := f.entries[c.Owner]
-			e.got = c.Total
+			e.granted = c.Total
 			for e.waiting > 0 && e.unspent() > 0 {
-				e.used++
+				e.spent++
 				e.waiting--
 				e.started++
-				Expect(f.s.Spend(e.id)).To(BeTrue())
+				Expect(f.allocator.Spend(e.id)).To(BeTrue())
 			}
 			e.returned += uint64(min(c.Recall, e.unspent()))
 		}
 		for _, e := range f.entries {
-			Expect(f.s.SetDemand(e.id, e.waiting, e.rankMs, e.returned)).To(BeTrue())
+			Expect(f.allocator.SetDemand(e.id, e.waiting, e.rankMs, e.returned)).To(BeTrue())
 		}
 		if len(changes) == 0 {
 			return
 		}
 	}
-	Fail("credits go to and fro without end")
+	Fail("the allocator keeps moving credits between entries")
 }
 
-func (f *fleet) want(id uint64, waiting int, rankMs int64) {
+func (f *fleet) setWaiting(id uint64, waiting int, rankMs int64) {
 	e := f.entries[id]
 	e.waiting, e.rankMs = waiting, rankMs
-	f.s.SetDemand(id, waiting, rankMs, e.returned)
+	f.allocator.SetDemand(id, waiting, rankMs, e.returned)
 }
 
 var _ = Describe("sharing the slots of a target", func() {
-	// A system at rest gets one request. If its entry first had to ask for a slot,
-	// each answer would be later by a round trip.
-	It("hands idle slots out before anyone asks", func() {
+	// Guards against an additional round trip for each request to an idle system, which would be
+	// needed if the entry first had to request a slot.
+	It("grants idle slots in advance", func() {
 		f := newFleet(8, 1, 2, 3)
-		f.settle()
+		f.exchange()
 		for _, e := range f.entries {
 			Expect(e.unspent()).To(BeNumerically(">=", 2))
 		}
-		Expect(f.s.Outstanding()).To(Equal(8))
+		Expect(f.allocator.Outstanding()).To(Equal(8))
 	})
 
-	// One entry has a queue and another has none but holds half of the slots.
-	// Callers of the first wait for slots that stand idle.
-	It("gives every slot to the one entry that has work", func() {
+	// One entry has a queue; another has none but half of the credits. Guards against callers of
+	// the first that wait while slots are idle.
+	It("grants every slot to the only entry with waiting tasks", func() {
 		f := newFleet(8, 1, 2)
-		f.settle()
-		f.want(1, 20, 100)
-		f.settle()
+		f.exchange()
+		f.setWaiting(1, 20, 100)
+		f.exchange()
 		Expect(f.entries[1].started).To(Equal(8))
 		Expect(f.entries[2].unspent()).To(BeZero())
 	})
 
-	// The single queues of several entries must act as one: the job that ranks
-	// lowest anywhere goes first, or a check waits behind a large job only
-	// because the balancer took it to another entry.
-	It("gives a freed slot to the lowest rank", func() {
+	// The queues of several entries must act as one: the job with the lowest rank of all goes
+	// first. Guards against a safety check that waits behind a large job only because the load
+	// balancer routed it to another entry.
+	It("grants a freed slot to the lowest rank", func() {
 		f := newFleet(1, 1, 2, 3)
-		f.want(1, 1, 300)
-		f.want(2, 1, 100)
-		f.want(3, 1, 200)
-		f.settle()
+		f.setWaiting(1, 1, 300)
+		f.setWaiting(2, 1, 100)
+		f.setWaiting(3, 1, 200)
+		f.exchange()
 		Expect(f.entries[2].started).To(Equal(1))
-		f.s.Release()
-		f.settle()
+		f.allocator.Release()
+		f.exchange()
 		Expect(f.entries[3].started).To(Equal(1))
 	})
 
-	// An entry's clock lags by an hour, so that all its jobs look an hour old. By
-	// rank alone the other entries would get no slot while it has a burst, and
-	// their callers' jobs all miss their deadlines.
-	It("gives a starved entry an eighth of the contested slots", func() {
+	// An entry's clock lags by an hour, so that all its jobs seem to be an hour old. By rank
+	// alone, the other entries would be granted no slot during its burst, and all their jobs
+	// would miss their deadlines.
+	It("grants a starved entry an eighth of the contested slots", func() {
 		f := newFleet(8, 1, 2)
-		f.want(1, 1000, -3_600_000)
-		f.want(2, 1000, 500)
+		f.setWaiting(1, 1000, -3_600_000)
+		f.setWaiting(2, 1000, 500)
 		for range 160 {
-			f.settle()
-			f.s.Release()
+			f.exchange()
+			f.allocator.Release()
 		}
 		Expect(f.entries[2].started).To(BeNumerically("~", 160/StarvationGuardInterval, 3))
 		Expect(f.entries[1].started).To(BeNumerically(">", 130))
 	})
 
-	// An entry dies with credits in hand. Were they not taken back, the target
-	// would run half empty for good and nobody would see why.
-	It("takes back what a dead entry held", func() {
+	// Guards against the loss of the credits of a crashed entry, which would leave half of the
+	// target's slots unused for good without any visible reason.
+	It("frees the credits of a crashed entry", func() {
 		f := newFleet(8, 1, 2)
-		f.settle()
-		f.s.RemoveOwner(1)
+		f.exchange()
+		f.allocator.RemoveOwner(1)
 		delete(f.entries, 1)
-		f.want(2, 8, 0)
-		f.settle()
+		f.setWaiting(2, 8, 0)
+		f.exchange()
 		Expect(f.entries[2].started).To(Equal(8))
 	})
 
-	// A leaving target must not get new work after a few seconds: credits in the
-	// hands of idle entries would let them send it at any later time.
-	It("calls every credit back from a leaving target", func() {
+	// A leaving target must not receive new tasks after a few seconds. With the credits they
+	// hold, idle entries could send some at any later time.
+	It("recalls all credits of a leaving target", func() {
 		f := newFleet(8, 1, 2)
-		f.settle()
-		f.s.SetSlots(0)
-		f.settle()
-		Expect(f.s.Outstanding()).To(BeZero())
-		f.want(1, 5, 0)
-		f.settle()
+		f.exchange()
+		f.allocator.SetSlots(0)
+		f.exchange()
+		Expect(f.allocator.Outstanding()).To(BeZero())
+		f.setWaiting(1, 5, 0)
+		f.exchange()
 		Expect(f.entries[1].started).To(BeZero())
 	})
 
-	// At low load one entry has used up its credits on the fast target while
-	// another sits on idle ones. Without a recall the first goes on to slower
-	// targets although the fast one is free.
-	It("evens out idle credits", func() {
+	// At low load, one entry has spent its credits for the fast target while another has idle
+	// ones. Without a recall, the first would use slower targets although the fast one is free.
+	It("redistributes idle credits", func() {
 		f := newFleet(8, 1, 2)
-		f.settle()
-		f.want(1, 4, 0)
-		f.settle()
+		f.exchange()
+		f.setWaiting(1, 4, 0)
+		f.exchange()
 		Expect(f.entries[1].unspent()).To(BeNumerically(">=", 1))
 		Expect(f.entries[2].unspent()).To(BeNumerically(">=", 1))
 	})
 
-	// An entry that owes a return goes silent while tasks of its own wait. Credits
-	// called back for it from the others can't be given to it and go back to where
-	// they came from, a message each round trip until the session is found silent.
-	It("leaves idle credits alone while a silent entry owes a return", func() {
+	// An entry with a pending recall becomes unresponsive while its own tasks wait. Credits
+	// recalled for it from the others can't be granted to it and would be granted to their
+	// former owner again, with a message per round trip until the session is closed as silent.
+	It("does not recall idle credits for an unresponsive entry with a pending recall", func() {
 		s := NewAllocator()
 		s.SetSlots(2)
 		s.AddOwner(1)
 		s.AddOwner(2)
 		s.Rebalance(nil)
 		Expect(s.SetDemand(2, 3, 0, 0)).To(BeTrue())
-		s.Rebalance(nil)                             // owner 1 is asked for its credit and does not hear it
-		Expect(s.SetDemand(1, 3, 0, 0)).To(BeTrue()) // crossed the recall
+		s.Rebalance(nil)                             // recalls the credit of owner 1, which does not receive the change
+		Expect(s.SetDemand(1, 3, 0, 0)).To(BeTrue()) // sent before the recall arrived
 		Expect(s.SetDemand(2, 0, 0, 0)).To(BeTrue())
 		returned := uint64(0)
 		for range 100 {
@@ -187,7 +187,7 @@
 		Expect(returned).To(BeNumerically("<=", 1))
 	})
 
-	It("refuses a return or a start beyond what an owner holds", func() {
+	It("rejects a return or a start without an outstanding credit", func() {
 		s := NewAllocator()
 		s.AddOwner(1)
 		Expect(s.Spend(1)).To(BeFalse())
@@ -196,11 +196,11 @@
 	})
 })
 
-// Frames between agent and entry are under way while both go on deciding. If the
-// two counts of credits ever drifted apart, a target would be overrun, or a slot
-// would be lost for as long as the connection lives. Here messages are delayed at
-// random, in order on each connection, as on a real one.
-func TestBothSidesCountAlike(t *testing.T) {
+// Guards against credit counts of agent and entry that differ: the target would be overloaded,
+// or a slot would be lost for the lifetime of the connection. Both sides make decisions while
+// frames are in transit. Here messages are delayed at random, in order on each connection, as
+// on a real one.
+func TestCreditCountsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewAllocator()
 		slots := rapid.IntRange(1, 9).Draw(t, "slots")
@@ -218,17 +218,17 @@
 			waiting, rank, returned := e.waiting, e.rankMs, e.returned
 			up[e.id] = append(up[e.id], func(t *rapid.T) {
 				if !s.SetDemand(e.id, waiting, rank, returned) {
-					t.Fatalf("the agent disowns a return of owner %d", e.id)
+					t.Fatalf("the agent rejects a return of owner %d", e.id)
 				}
 			})
 		}
 		spend := func(e *entry) {
 			for e.waiting > 0 && e.unspent() > 0 {
-				e.used++
+				e.spent++
 				e.waiting--
 				up[e.id] = append(up[e.id], func(t *rapid.T) {
 					if !s.Spend(e.id) {
-						t.Fatalf("the agent disowns a start of owner %d", e.id)
+						t.Fatalf("the agent rejects a start of owner %d", e.id)
 					}
 				})
 			}
@@ -237,7 +237,7 @@
 		deliverDown := func(e *entry) {
 			c := down[e.id][0]
 			down[e.id] = down[e.id][1:]
-			e.got = c.Total
+			e.granted = c.Total
 			e.returned += uint64(min(c.Recall, e.unspent()))
 			spend(e)
 		}
@@ -274,11 +274,11 @@
 			"change": func(*rapid.T) { change() },
 			"": func(t *rapid.T) {
 				if n := s.Running() + s.Outstanding(); n > slots {
-					t.Fatalf("%d running and out at %d slots", n, slots)
+					t.Fatalf("%d running tasks and outstanding credits at %d slots", n, slots)
 				}
 			},
 		})
-		// Let everything under way arrive, all tasks run, and see that no slot is lost.
+		// Deliver all messages in transit, let all tasks finish, and check that no slot is lost.
 		s.SetSlots(slots)
 		for range 2000 {
 			change()
@@ -298,12 +298,12 @@
 		held := 0
 		for _, e := range entries {
 			if e.waiting > 0 {
-				t.Fatalf("owner %d still waits for %d at an idle target", e.id, e.waiting)
+				t.Fatalf("owner %d still has %d waiting tasks at an idle target", e.id, e.waiting)
 			}
 			held += e.unspent()
 		}
 		if held != s.Outstanding() || held != slots {
-			t.Fatalf("owners hold %d, the agent counts %d, slots %d", held, s.Outstanding(), slots)
+			t.Fatalf("owners hold %d credits, the agent counts %d, slots %d", held, s.Outstanding(), slots)
 		}
 	})
 }
--- a/internal/scheduler/grants/sharer.go
+++ b/internal/scheduler/grants/sharer.go
@@ -1,26 +1,26 @@
-// Package grants divides the slots of one target among the entries that want
-// them. It runs in the agent beside the target.
+// Package grants implements credit-based flow control: it divides the slots of one target
+// among the entries that start tasks on it, the owners of the credits. It runs in the agent
+// beside the target.
 //
-// The pattern of load: several entries each hold a queue, and their loads differ
-// and change within a second. If entries send as they like, tasks line up at the
-// target or are turned away there: messages wasted, and a line that nobody can
-// reorder. If slots are split in fixed parts, one entry queues while another's
-// part lies idle.
+// Several entries each hold a queue, and their loads differ and change within a second. If
+// entries sent tasks freely, tasks would queue at the target, where nothing can reorder
+// them, or be refused there, which wastes messages. If each entry had a fixed part of the
+// slots, one entry would queue tasks while the part of another is idle.
 //
-// Why this works: an entry starts a task only against a credit, and running
-// tasks plus credits out never exceed the slots, so nothing ever waits here.
-//   - Idle slots are handed out evenly before anyone asks, so that in an idle
-//     system a start costs no extra round trip.
-//   - A slot that frees goes to the waiting entry whose best job ranks lowest,
-//     which makes several queues act nearly as one.
-//   - Idle credits are called back while another entry waits, and one at a time
-//     when an entry has none left and another holds several.
-//   - All credits of an entry that is gone are free again at once.
+// An entry starts a task only against a credit, and running tasks plus outstanding credits
+// never exceed the slots, so no task waits at the target.
+//   - Idle slots are granted evenly in advance, so that a start in an idle system needs no
+//     additional round trip.
+//   - A slot that becomes free is granted to the waiting entry whose best job has the lowest
+//     rank, so that the queues act nearly as a single one.
+//   - Idle credits are recalled while another entry waits, and one at a time while an entry
+//     has none and another has several.
+//   - All credits of a disconnected entry are free again at once.
 //
-// Ranks contain the entries' clocks and estimates. An entry whose clock lags, or
-// one with a burst of tiny jobs, would rank lowest for ever and starve the
-// others; so every StarvationGuardInterval-th contested slot goes to the entry that has waited
-// through the most grants.
+// Ranks depend on the clocks and estimates of the entries. An entry whose clock lags, or
+// one with a burst of tiny jobs, would always have the lowest rank and starve the others.
+// Therefore every StarvationGuardInterval-th contested slot is granted to the entry that has
+// been passed over most often.
 package grants
 
 import (
@@ -28,168 +28,171 @@
 	"slices"
 )
 
-// StarvationGuardInterval is how often a contested slot goes by turn and not by rank. An
-// eighth of the slots bounds the wait of a starved entry to some tens of
-// milliseconds at a target of 8 slots, and costs the order little.
+// StarvationGuardInterval is the interval, in contested grants, at which a grant goes to the
+// owner passed over most often and not to the one with the lowest rank. With an eighth of
+// the slots, a starved entry waits some tens of milliseconds at most at a target of 8 slots,
+// and the order by rank is hardly affected.
 const StarvationGuardInterval = 8
 
-// Change is what an owner has to be told.
+// Change is an update that has to be sent to an owner.
 type Change struct {
 	Owner  uint64
-	Total  uint64 // credits granted since the owner came up
-	Recall int    // credits to hand back now, as far as they are unspent
+	Total  uint64 // credits granted since the owner was added
+	Recall int    // credits to return now, as far as they are unspent
 }
 
+// owner is the credit account of a connected entry.
 type owner struct {
-	id       uint64
-	total    uint64
-	told     uint64 // total when the owner was last told
-	spent    uint64
-	returned uint64
-	waiting  int
-	rankMs   int64
-	recalled int // asked back and neither returned nor spent yet
-	askBack  int // part of recalled that the owner has not been told of
-	passed   int // contested grants to others while this one waited
-	retired  bool
+	id            uint64
+	total         uint64 // credits granted
+	sentTotal     uint64 // total in the latest Change
+	spent         uint64
+	returned      uint64
+	waiting       int   // tasks waiting at the owner
+	rankMs        int64 // rank of the best of them; the lowest goes first
+	pendingRecall int   // recalled credits that are neither returned nor spent yet
+	unsentRecall  int   // part of pendingRecall not yet in a Change
+	passedOver    int   // contested grants to others while this owner waited
+	retired       bool
 }
 
-// outstanding is the number of credits the owner may still spend.
+// outstanding returns the number of credits that the owner can still spend.
 func (o *owner) outstanding() int { return int(o.total - o.spent - o.returned) }
 
-// unmet is the number of waiting tasks that no credit in hand or under way covers.
-func (o *owner) unmet() int { return max(o.waiting-o.outstanding(), 0) }
+// uncovered returns the number of waiting tasks without an outstanding credit.
+func (o *owner) uncovered() int { return max(o.waiting-o.outstanding(), 0) }
 
-// idle is the number of credits that no waiting task needs and that were not
-// asked back yet. A credit granted to a waiting owner must not count as idle
-// while the start is under way: it would be called back at once for the next
-// waiting owner, and with two of them the slot would go to and fro for ever.
-func (o *owner) idle() int { return o.outstanding() - o.recalled - o.waiting }
+// idle returns the number of credits that are not recalled and not needed for a waiting
+// task. A credit granted to a waiting owner is not idle while the start is in transit:
+// otherwise it would be recalled at once for the next waiting owner, and with two of them
+// the slot would alternate between both without being used.
+func (o *owner) idle() int { return o.outstanding() - o.pendingRecall - o.waiting }
 
-// settled reports whether no recall is under way. While one is, the owner gets
-// nothing new: the recall could then take back a later credit than was meant,
-// and both sides would count differently.
-// A retired owner gets nothing at all.
-func (o *owner) settled() bool { return o.recalled == 0 && !o.retired }
+// eligible reports whether the owner can be granted credits. It can't while a recall is
+// pending, because the recall could then apply to a later credit than intended and the
+// counts of both sides would differ, nor when it is retired.
+func (o *owner) eligible() bool { return o.pendingRecall == 0 && !o.retired }
 
-// Allocator divides slots. It is not safe for concurrent use.
+// Allocator divides the slots of a target among owners. It is not safe for concurrent use.
 type Allocator struct {
-	slots     int
-	running   int
-	owners    []*owner // in the order of their ids
-	turn      int      // where the next idle slot goes
-	contested int
+	slots      int
+	running    int
+	owners     []*owner // sorted by id
+	idleCursor int      // index from which nextIdleOwner searches, modulo len(owners)
+	contested  int      // number of grants for which several owners waited
 }
 
-// NewAllocator returns a sharer without slots and owners.
+// NewAllocator returns an allocator without slots and owners.
 func NewAllocator() *Allocator { return &Allocator{} }
 
-// SetSlots sets how many tasks the target runs at a time. 0 calls every credit
-// back, as for a target that is leaving.
-func (s *Allocator) SetSlots(n int) { s.slots = max(n, 0) }
+// SetSlots sets the number of tasks that the target runs at a time. 0 recalls all credits, as
+// for a target that is leaving.
+func (a *Allocator) SetSlots(n int) { a.slots = max(n, 0) }
 
-// AddOwner adds an owner; one that is already up starts again from zero.
-func (s *Allocator) AddOwner(id uint64) {
-	s.RemoveOwner(id)
-	i, _ := s.find(id)
-	s.owners = slices.Insert(s.owners, i, &owner{id: id})
+// AddOwner adds an owner without credits; an existing one with the id is replaced.
+func (a *Allocator) AddOwner(id uint64) {
+	a.RemoveOwner(id)
+	i, _ := a.find(id)
+	a.owners = slices.Insert(a.owners, i, &owner{id: id})
 }
 
 // RemoveOwner removes an owner and frees its credits. Its running tasks keep their
-// slots until they finish.
-func (s *Allocator) RemoveOwner(id uint64) {
-	if i, ok := s.find(id); ok {
-		s.owners = slices.Delete(s.owners, i, i+1)
+// slots until Release.
+func (a *Allocator) RemoveOwner(id uint64) {
+	if i, ok := a.find(id); ok {
+		a.owners = slices.Delete(a.owners, i, i+1)
 	}
 }
 
-// SetRetired stops granting to an owner and calls back what it holds, so that its
-// connection can be closed without losing a start that is under way on it. With
-// on false, the owner takes part again.
-func (s *Allocator) SetRetired(id uint64, on bool) {
-	if i, ok := s.find(id); ok {
-		s.owners[i].retired = on
+// SetRetired excludes an owner from grants and recalls its credits, so that its connection
+// can be closed without losing a start in transit on it. With on false, the owner becomes
+// eligible again.
+func (a *Allocator) SetRetired(id uint64, on bool) {
+	if i, ok := a.find(id); ok {
+		a.owners[i].retired = on
 	}
 }
 
 // Owners returns the number of owners.
-func (s *Allocator) Owners() int { return len(s.owners) }
+func (a *Allocator) Owners() int { return len(a.owners) }
 
 // Running returns the number of tasks that hold a slot.
-func (s *Allocator) Running() int { return s.running }
+func (a *Allocator) Running() int { return a.running }
 
-// Outstanding returns the number of credits that are out.
-func (s *Allocator) Outstanding() int {
+// Outstanding returns the number of credits that owners can still spend.
+func (a *Allocator) Outstanding() int {
 	n := 0
-	for _, o := range s.owners {
+	for _, o := range a.owners {
 		n += o.outstanding()
 	}
 	return n
 }
 
-// SetDemand notes what an owner wants: how many of its tasks wait, the rank of the
-// best of them, and how many credits it has handed back since it came up. Starts
-// that came in the same frame are to be counted with Spend first.
-// It reports false when the owner claims to return more than it holds.
-func (s *Allocator) SetDemand(id uint64, waiting int, rankMs int64, returned uint64) bool {
-	i, ok := s.find(id)
+// SetDemand updates the demand of an owner: how many of its tasks wait, the rank of the
+// best of them, and how many credits it has returned in total since it was added. Spend must
+// be called first for starts in the same frame.
+// It returns false, and changes nothing, if the owner returns more credits than it has.
+func (a *Allocator) SetDemand(id uint64, waiting int, rankMs int64, returned uint64) bool {
+	i, ok := a.find(id)
 	if !ok {
 		return true
 	}
-	o := s.owners[i]
+	o := a.owners[i]
 	if returned < o.returned || returned-o.returned > uint64(o.outstanding()) {
 		return false
 	}
-	back := int(returned - o.returned)
+	returnedNow := int(returned - o.returned)
 	o.returned = returned
-	o.recalled = min(max(o.recalled-back, 0), o.outstanding())
-	o.askBack = min(o.askBack, o.recalled)
+	o.pendingRecall = min(max(o.pendingRecall-returnedNow, 0), o.outstanding())
+	o.unsentRecall = min(o.unsentRecall, o.pendingRecall)
 	o.waiting = max(waiting, 0)
 	o.rankMs = rankMs
 	if o.waiting == 0 {
-		o.passed = 0
+		o.passedOver = 0
 	}
 	return true
 }
 
-// Spend turns one of the owner's credits into a running task. It reports false
-// when the owner has none, and then changes nothing.
-func (s *Allocator) Spend(id uint64) bool {
-	i, ok := s.find(id)
-	if !ok || s.owners[i].outstanding() == 0 {
+// Spend turns one of the owner's credits into a running task. It returns false, and changes
+// nothing, if the owner has no credit.
+func (a *Allocator) Spend(id uint64) bool {
+	i, ok := a.find(id)
+	if !ok || a.owners[i].outstanding() == 0 {
 		return false
 	}
-	o := s.owners[i]
+	o := a.owners[i]
 	o.spent++
 	o.waiting = max(o.waiting-1, 0)
-	o.recalled = min(o.recalled, o.outstanding())
-	o.askBack = min(o.askBack, o.recalled)
-	s.running++
+	o.pendingRecall = min(o.pendingRecall, o.outstanding())
+	o.unsentRecall = min(o.unsentRecall, o.pendingRecall)
+	a.running++
 	return true
 }
 
 // Release frees the slot of a running task.
-func (s *Allocator) Release() { s.running = max(s.running-1, 0) }
+func (a *Allocator) Release() { a.running = max(a.running-1, 0) }
 
-// Rebalance hands out free slots, decides on recalls, and appends to dst what each
-// owner must be told.
-func (s *Allocator) Rebalance(dst []Change) []Change {
-	s.grant()
-	s.recall()
-	for _, o := range s.owners {
-		if o.total != o.told || o.askBack > 0 {
-			dst = append(dst, Change{o.id, o.total, o.askBack})
-			o.told, o.askBack = o.total, 0
+// Rebalance grants the free slots, recalls credits that are needed elsewhere, and appends to
+// dst the changes that have to be sent to owners.
+func (a *Allocator) Rebalance(dst []Change) []Change {
+	a.grant()
+	a.recall()
+	for _, o := range a.owners {
+		if o.total != o.sentTotal || o.unsentRecall > 0 {
+			dst = append(dst, Change{o.id, o.total, o.unsentRecall})
+			o.sentTotal, o.unsentRecall = o.total, 0
 		}
 	}
 	return dst
 }
 
-func (s *Allocator) free() int { return s.slots - s.running - s.Outstanding() }
+// free returns the number of slots without a running task or a credit; it is negative after the
+// number of slots has been reduced.
+func (a *Allocator) free() int { return a.slots - a.running - a.Outstanding() }
 
-func (s *Allocator) grant() {
-	for n := s.free(); n > 0; n-- {
-		o := s.next()
+func (a *Allocator) grant() {
+	for n := a.free(); n > 0; n-- {
+		o := a.nextOwner()
 		if o == nil {
 			return
 		}
@@ -197,103 +200,107 @@
 	}
 }
 
-// next returns the owner that gets the next free slot, or nil.
-func (s *Allocator) next() *owner {
+// nextOwner returns the owner to which the next free slot is granted, or nil.
+func (a *Allocator) nextOwner() *owner {
 	waiting := 0
-	for _, o := range s.owners {
-		if o.unmet() > 0 && o.settled() {
+	for _, o := range a.owners {
+		if o.uncovered() > 0 && o.eligible() {
 			waiting++
 		}
 	}
 	switch waiting {
 	case 0:
-		return s.nextIdle()
+		return a.nextIdleOwner()
 	case 1:
-		return s.best(byRank)
+		return a.bestWaiting(byRank)
 	}
-	s.contested++
-	rule := byRank
-	if s.contested%StarvationGuardInterval == 0 {
-		rule = byPassed
+	a.contested++
+	order := byRank
+	if a.contested%StarvationGuardInterval == 0 {
+		order = byPassedOver
 	}
-	winner := s.best(rule)
-	for _, o := range s.owners {
-		if o.unmet() > 0 {
-			o.passed++
+	winner := a.bestWaiting(order)
+	for _, o := range a.owners {
+		if o.uncovered() > 0 {
+			o.passedOver++
 		}
 	}
-	winner.passed = 0
+	winner.passedOver = 0
 	return winner
 }
 
 func byRank(a, b *owner) int { return cmp.Compare(a.rankMs, b.rankMs) }
 
-func byPassed(a, b *owner) int {
-	return cmp.Or(cmp.Compare(b.passed, a.passed), byRank(a, b))
+func byPassedOver(a, b *owner) int {
+	return cmp.Or(cmp.Compare(b.passedOver, a.passedOver), byRank(a, b))
 }
 
-func (s *Allocator) best(rule func(a, b *owner) int) *owner {
+// bestWaiting returns the first, by the given order, of the eligible owners with uncovered
+// tasks.
+func (a *Allocator) bestWaiting(order func(a, b *owner) int) *owner {
 	var best *owner
-	for _, o := range s.owners {
-		if o.unmet() > 0 && o.settled() && (best == nil || rule(o, best) < 0) {
+	for _, o := range a.owners {
+		if o.uncovered() > 0 && o.eligible() && (best == nil || order(o, best) < 0) {
 			best = o
 		}
 	}
 	return best
 }
 
-// nextIdle returns the owner with the fewest credits, by turn among equals.
-func (s *Allocator) nextIdle() *owner {
+// nextIdleOwner returns the eligible owner with the fewest credits, in round-robin order among
+// equals.
+func (a *Allocator) nextIdleOwner() *owner {
 	var best *owner
-	for n := range s.owners {
-		o := s.owners[(s.turn+n)%len(s.owners)]
-		if o.settled() && (best == nil || o.outstanding() < best.outstanding()) {
+	for n := range a.owners {
+		o := a.owners[(a.idleCursor+n)%len(a.owners)]
+		if o.eligible() && (best == nil || o.outstanding() < best.outstanding()) {
 			best = o
 		}
 	}
-	s.turn++
+	a.idleCursor++
 	return best
 }
 
-// recall asks credits back: all that exceed the slots, else from owners that
-// don't wait as many as others wait for, else one to even out.
-func (s *Allocator) recall() {
-	for _, o := range s.owners {
-		if back := o.outstanding() - o.recalled; o.retired && back > 0 {
-			o.recalled += back
-			o.askBack += back
+// recall recalls all credits of retired owners. Of the others it recalls the credits that exceed
+// the slots; else as many idle credits as other owners wait for; else, if an owner has none,
+// one credit from an owner with several idle ones.
+func (a *Allocator) recall() {
+	for _, o := range a.owners {
+		if held := o.outstanding() - o.pendingRecall; o.retired && held > 0 {
+			o.pendingRecall += held
+			o.unsentRecall += held
 		}
 	}
 	pending, wanted := 0, 0
 	empty := false
-	for _, o := range s.owners {
-		pending += o.recalled
-		if o.settled() {
-			// An owner with a recall under way is granted nothing. Calling credits back
-			// for it would only hand them to their holder again, round after round, for
-			// as long as the owner is silent.
-			wanted += o.unmet()
+	for _, o := range a.owners {
+		pending += o.pendingRecall
+		if o.eligible() {
+			// An owner with a pending recall is not granted credits. Credits recalled
+			// for it would be granted to their former owner again, in every round until
+			// the unresponsive owner answers.
+			wanted += o.uncovered()
 		}
-		empty = empty || o.outstanding() == 0 && o.settled()
+		empty = empty || o.outstanding() == 0 && o.eligible()
 	}
-	if over := -s.free() - pending; over > 0 {
-		s.callBack(over, func(o *owner) int { return o.outstanding() - o.recalled })
+	if excess := -a.free() - pending; excess > 0 {
+		a.recallCredits(excess, func(o *owner) int { return o.outstanding() - o.pendingRecall })
 		return
 	}
 	if wanted > pending {
-		s.callBack(wanted-pending, (*owner).idle)
+		a.recallCredits(wanted-pending, (*owner).idle)
 		return
 	}
-	if wanted == 0 && pending == 0 && empty && s.free() <= 0 {
-		s.callBack(1, func(o *owner) int { return o.idle() - 1 })
+	if wanted == 0 && pending == 0 && empty && a.free() <= 0 {
+		a.recallCredits(1, func(o *owner) int { return o.idle() - 1 })
 	}
 }
 
-// callBack asks for n credits, one by one from the owner that can spare most.
-func (s *Allocator) callBack(n int, spare func(*owner) int) {
+// recallCredits recalls n credits, each from the owner that can spare most.
+func (a *Allocator) recallCredits(n int, spare func(*owner) int) {
 	for ; n > 0; n-- {
 		var most *owner
-		for _, o := range s.owners {
+		for _, o := range a.owners {
 			if spare(o) > 0 && (most == nil || spare(o) > spare(most)) {
 				most = o
 			}
@@ -301,13 +308,13 @@
 		if most == nil {
 			return
 		}
-		most.recalled++
-		most.askBack++
+		most.pendingRecall++
+		most.unsentRecall++
 	}
 }
 
-func (s *Allocator) find(id uint64) (int, bool) {
-	return slices.BinarySearchFunc(s.owners, id, func(o *owner, id uint64) int {
+func (a *Allocator) find(id uint64) (int, bool) {
+	return slices.BinarySearchFunc(a.owners, id, func(o *owner, id uint64) int {
 		return cmp.Compare(o.id, id)
 	})
 }
