--- a/internal/scheduler/headroom/headroom.go
+++ b/internal/scheduler/headroom/headroom.go
@@ -1,15 +1,16 @@
-// Package headroom adapts how much earlier than its limit a job that must wait for room has to be
-// predicted to end to be let in, by how many of those let in before came late.
+// Package headroom adapts the safety margin of admission to the share of admitted jobs that are
+// late. A job that has to wait for capacity is admitted only if its predicted end is earlier than
+// its limit by the margin.
 //
-// The load it answers: more work than targets, or the links to them, can carry. Predictions are
-// made from what targets say of their queues. They miss what is on its way: orders of other
-// entries, and frames that wait for a narrow link. In overload each prediction is too early by
-// the same unknown time, every job is let in, and every job is late: callers wait, the work is
-// done, and nobody is served.
+// Predictions are based on the queues that targets report. They don't include what is in transit:
+// orders of other entries, and frames that wait for a narrow link. When the load exceeds what the
+// targets or the links to them can carry, each prediction is too early by the same unknown time.
+// Without a margin, every job would be admitted and every job would be late: the work is done, but
+// no caller is served in time.
 //
-// The margin rises with each job that comes late and falls with each that is in time, so that in
-// balance a fixed part is late. While few are late it stays at zero and predictions count as they
-// are. Without jobs that end nothing tells whether it is still needed, so it fades.
+// The margin increases with each job that is late and decreases with each that is in time, so that
+// in equilibrium a fixed share is late. While few jobs are late it stays at zero and does not affect
+// predictions. Without job outcomes there is no evidence that it is still needed, so it decays.
 package headroom
 
 import (
@@ -18,51 +19,52 @@
 )
 
 const (
-	// lateShare is the part of the jobs let in that may come late in balance. Run times are
-	// off by two fifths from what is known of them, so some are late without any queue.
-	lateShare = 0.15
-	// step is the gain of one end, as a part of the queue's usual objective.
-	step = 0.02
-	// mostShare bounds the margin, as a part of the objective: a job that finds an idle fleet
-	// is always let in.
-	mostShare = 0.6
-	// halfLife is how fast a margin fades.
+	// targetLateShare is the share of admitted jobs that are late in equilibrium. Run times differ
+	// by two fifths from their estimates, so some jobs are late even without any queue.
+	targetLateShare = 0.15
+	// gain is the step per outcome of the controller, as a share of the objective.
+	gain = 0.02
+	// maxShare bounds the margin, as a share of the objective, so that a job that finds an idle
+	// fleet is always admitted.
+	maxShare = 0.6
+	// halfLife is the time in which a margin decays by half.
 	halfLife = 3 * time.Second
 )
 
-// Margin is that of one queue. The zero Margin is none.
+// Margin is the safety margin of one queue. The zero Margin is zero.
 type Margin struct {
-	// Priority is the queue's; 0 is the most urgent.
+	// Priority is the priority of the queue; 0 is the most urgent.
 	Priority int
 
-	part float64 // of an objective
-	at   time.Time
+	share   float64 // margin as a share of the objective
+	updated time.Time
 }
 
-// RecordOutcome takes a job of any queue that was let in, by its queue's priority: whether it was answered
-// later than its objective, or given up for want of time. Late jobs make their own queue wait and
-// the less urgent ones, which hold the room that they lack; a queue never waits for a less urgent
-// one.
+// RecordOutcome records the outcome of an admitted job of any queue, given the priority of that
+// queue. A job is late if it was answered after its objective, or given up for lack of time. Late
+// jobs increase the margins of their own queue and of less urgent ones, whose jobs use the capacity
+// that they lack; they don't affect the margins of more urgent queues.
 func (m *Margin) RecordOutcome(now time.Time, priority int, late bool) {
-	m.fade(now)
+	m.decay(now)
 	switch {
 	case priority > m.Priority:
 	case late:
-		m.part = min(m.part+step*(1-lateShare), mostShare)
+		m.share = min(m.share+gain*(1-targetLateShare), maxShare)
 	default:
-		m.part = max(m.part-step*lateShare, 0)
+		m.share = max(m.share-gain*targetLateShare, 0)
 	}
 }
 
-// For returns the margin of a job with that objective.
+// For returns the margin of a job with the given objective.
 func (m *Margin) For(now time.Time, objective time.Duration) time.Duration {
-	m.fade(now)
-	return time.Duration(m.part * float64(objective))
+	m.decay(now)
+	return time.Duration(m.share * float64(objective))
 }
 
-func (m *Margin) fade(now time.Time) {
-	if !m.at.IsZero() && now.After(m.at) {
-		m.part *= math.Exp2(-now.Sub(m.at).Seconds() / halfLife.Seconds())
+// decay reduces the margin for the time since the last update.
+func (m *Margin) decay(now time.Time) {
+	if !m.updated.IsZero() && now.After(m.updated) {
+		m.share *= math.Exp2(-now.Sub(m.updated).Seconds() / halfLife.Seconds())
 	}
-	m.at = now
+	m.updated = now
 }
--- a/internal/scheduler/headroom/headroom_test.go
+++ b/internal/scheduler/headroom/headroom_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load of this file: a queue at a capacity of 100 jobs a second whose predictions are too early
-// by a time that nobody knows, because what others send is on its way.
+// The simulation in this file: a queue with a capacity of 100 jobs per second whose predictions are
+// too early by a time unknown to the margin, because the load they are based on is outdated.
 
 const (
 	capacity  = 100
@@ -18,15 +18,16 @@
 	tick      = 10 * time.Millisecond
 )
 
-// result is what a second's callers got, in the last half of a play.
+// result counts the jobs of the second half of a simulation by outcome.
 type result struct{ inTime, late, refused int }
 
-// play lets jobs come at a rate, and refuses with a margin, or with none where it is nil. A prediction knows of the queue only what is older than blind.
-func play(perSecond float64, blind time.Duration, margin *Margin) result {
+// simulate runs jobs at an arrival rate, with admission by predicted end and a margin; nil means
+// none. Predictions use the queue length of loadDelay ago.
+func simulate(perSecond float64, loadDelay time.Duration, margin *Margin) result {
 	x := rand.New(rand.NewPCG(4, 2))
 	now := time.Unix(1_800_000_000, 0)
 	const ticks = 2000
-	history := make([]float64, ticks) // work that waits, in seconds
+	history := make([]float64, ticks) // queued work in seconds, by tick
 	backlog := 0.0
 	var got result
 	var ends []struct {
@@ -45,11 +46,11 @@
 		}
 		arrivals := int(perSecond*tick.Seconds() + x.Float64())
 		for range arrivals {
-			seen := history[max(0, n-int(blind/tick))]
-			predicted := time.Duration(seen*float64(time.Second)) + usualRun
+			reportedBacklog := history[max(0, n-int(loadDelay/tick))]
+			predicted := time.Duration(reportedBacklog*float64(time.Second)) + usualRun
 			wait := time.Duration(backlog * float64(time.Second))
 			count := n > ticks/2
-			if seen > 0 && predicted > objective-of(margin, now) {
+			if reportedBacklog > 0 && predicted > objective-marginFor(margin, now) {
 				if count {
 					got.refused++
 				}
@@ -72,40 +73,40 @@
 	return got
 }
 
-// of returns what a margin takes off the objective; nil takes nothing.
-func of(m *Margin, now time.Time) time.Duration {
+// marginFor returns the duration of a margin, or 0 for nil.
+func marginFor(m *Margin, now time.Time) time.Duration {
 	if m == nil {
 		return 0
 	}
 	return m.For(now, objective)
 }
 
-// Guards against overload in which everything that is let in comes late.
-func TestOverloadIsRefusedRatherThanLate(t *testing.T) {
+// Guards against overload in which every admitted job is late.
+func TestMarginRefusesJobsInOverload(t *testing.T) {
 	g := NewWithT(t)
-	for _, blind := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
-		without, with := play(200, blind, nil), play(200, blind, &Margin{})
-		t.Logf("blind for %s: without a margin %+v, with %+v", blind, without, with)
+	for _, loadDelay := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
+		without, with := simulate(200, loadDelay, nil), simulate(200, loadDelay, &Margin{})
+		t.Logf("load delay %s: without a margin %+v, with %+v", loadDelay, without, with)
 		g.Expect(with.inTime).To(BeNumerically(">", without.inTime))
 		g.Expect(with.late).To(BeNumerically("<", without.late))
 	}
 }
 
-// Guards against jobs that are refused while there is room, once an overload has passed.
-func TestMarginFadesAfterAnOverload(t *testing.T) {
+// Guards against jobs that are refused after an overload, while capacity is free.
+func TestMarginDecaysAfterOverload(t *testing.T) {
 	g := NewWithT(t)
 	m := &Margin{}
 	now := time.Unix(1_800_000_000, 0)
 	for range 1000 {
 		m.RecordOutcome(now, 0, true)
 	}
-	g.Expect(m.For(now, objective)).To(BeNumerically("~", time.Duration(mostShare*float64(objective)), time.Millisecond))
+	g.Expect(m.For(now, objective)).To(BeNumerically("~", time.Duration(maxShare*float64(objective)), time.Millisecond))
 	g.Expect(m.For(now.Add(5*halfLife), objective)).To(BeNumerically("<", objective/40))
 }
 
-// Guards against refusals in calm times, when a few jobs are late because their run times were
-// not known.
-func TestFewLateJobsCostNothing(t *testing.T) {
+// Guards against refusals without overload, when a few jobs are late only because their estimates
+// were too short.
+func TestFewLateJobsLeaveMarginSmall(t *testing.T) {
 	g := NewWithT(t)
 	m := &Margin{}
 	now := time.Unix(1_800_000_000, 0)
@@ -116,9 +117,9 @@
 	g.Expect(m.For(now, objective)).To(BeNumerically("<", objective/30))
 }
 
-// Guards against less urgent work that takes the room which urgent jobs lack, and against urgent
-// work that is refused for what is less urgent.
-func TestLessUrgentQueuesWaitForUrgentOnes(t *testing.T) {
+// Guards against less urgent work that uses the capacity which urgent jobs lack, and against urgent
+// jobs that are refused because less urgent ones are late.
+func TestLateUrgentJobsRaiseLessUrgentMargins(t *testing.T) {
 	g := NewWithT(t)
 	urgent, less := &Margin{Priority: 0}, &Margin{Priority: 1}
 	now := time.Unix(1_800_000_000, 0)
