--- a/internal/scheduler/calibration/calibration.go
+++ b/internal/scheduler/calibration/calibration.go
@@ -40,7 +40,7 @@
 // Regression relates the estimates of one queue to the run times. The zero Regression leaves
 // estimates as they are.
 type Regression struct {
-	meanEstimate         float64 // mean logarithm of all estimates
+	meanLogEstimate      float64 // mean logarithm of all estimates
 	estimateCount        float64 // number of estimates, up to windowTasks
 	meanX, meanY         float64 // mean logarithms of estimate and run time of completed tasks
 	variance, covariance float64 // of these logarithms: of the estimate, and of both
@@ -50,7 +50,7 @@
 // AddEstimate adds the estimate of a step of an arriving job.
 func (r *Regression) AddEstimate(estimateMs float64) {
 	r.estimateCount = min(r.estimateCount+1, windowTasks)
-	r.meanEstimate += (logOf(estimateMs) - r.meanEstimate) / r.estimateCount
+	r.meanLogEstimate += (logOf(estimateMs) - r.meanLogEstimate) / r.estimateCount
 }
 
 // AddRunTime adds a completed task: its estimate and its run time, converted to a target of
@@ -86,7 +86,7 @@
 	if r.estimateCount == 0 || !(estimateMs > 0) {
 		return estimateMs
 	}
-	return math.Exp(r.meanEstimate + r.Reliability()*(logOf(estimateMs)-r.meanEstimate))
+	return math.Exp(r.meanLogEstimate + r.Reliability()*(logOf(estimateMs)-r.meanLogEstimate))
 }
 
 func logOf(ms float64) float64 { return math.Log(max(ms, minMs)) }
--- a/internal/scheduler/crashloop/crashloop.go
+++ b/internal/scheduler/crashloop/crashloop.go
@@ -45,10 +45,11 @@
 	Step, Index int
 }
 
-// Incarnation identifies one run of a target process, from its start to its crash or exit.
+// Incarnation identifies one process of a target. A target that restarts under the same name is
+// another incarnation.
 type Incarnation struct {
 	Target    string
-	StartedMs int64 // as the target's agent reports it
+	StartedMs int64 // start time in milliseconds, as the target reports it
 }
 
 // Verdict is the classification of a task.
