--- a/apps/camphorrack-agent/main.go
+++ b/apps/camphorrack-agent/main.go
@@ -12,6 +12,6 @@
 func main() {
 	set := settings.New(agent.Program, os.Stdout)
 	options := agent.Define(set)
-	set.LoadOS()
+	set.LoadOrExit()
 	daemon.Run(agent.Program, agent.Module(options))
 }
--- a/apps/camphorrack-bench/main.go
+++ b/apps/camphorrack-bench/main.go
@@ -28,15 +28,15 @@
 	set.BoolVar(&o.Wide, "wide", true, "print every figure before the lines")
 	scenarios := set.String("scenarios", "all", "scenarios, comma separated; \"short\": the short set; \"all\": "+strings.Join(names(), ","))
 	policies := set.String("policies", "all", "policies, comma separated; \"all\": random,two-choices,first-come,least-work")
-	set.Check("scenarios", func() string { return pickScenarios(&o, *scenarios) })
-	set.Check("policies", func() string { return pickPolicies(&o, *policies) })
-	set.Check("scale", func() string {
+	set.AddCheck("scenarios", func() string { return pickScenarios(&o, *scenarios) })
+	set.AddCheck("policies", func() string { return pickPolicies(&o, *policies) })
+	set.AddCheck("scale", func() string {
 		if o.Scale <= 0 || o.Scale > 1 {
 			return "takes more than 0, up to 1"
 		}
 		return ""
 	})
-	set.LoadOS()
+	set.LoadOrExit()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	err := bench.Run(ctx, o)
 	stop()
--- a/apps/camphorrack-demo/main.go
+++ b/apps/camphorrack-demo/main.go
@@ -24,13 +24,13 @@
 	listen := set.String("listen", "", "address of the first entry; empty: any free port of 127.0.0.1")
 	chaos := set.Bool("chaos", false, "disturb entries, agents and targets at random all the time")
 	keep := set.Bool("keep", false, "only start the fleet, and leave it running until ^C")
-	set.Check("load", func() string {
+	set.AddCheck("load", func() string {
 		if *load <= 0 || *load > 10 {
 			return "takes more than 0, up to 10"
 		}
 		return ""
 	})
-	set.LoadOS()
+	set.LoadOrExit()
 
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	options := demo.Options{
--- a/apps/camphorrack-entry/main.go
+++ b/apps/camphorrack-entry/main.go
@@ -13,7 +13,7 @@
 func main() {
 	set := settings.New(entry.Program, os.Stdout)
 	options := entry.Define(set)
-	set.LoadOS()
+	set.LoadOrExit()
 	options.OpenLog = store.Open
 	daemon.Run(entry.Program, entry.Module(options))
 }
--- a/apps/camphorrack-soak/main.go
+++ b/apps/camphorrack-soak/main.go
@@ -29,10 +29,10 @@
 	set.IntVar(&o.Callers, "callers", soak.DefaultCallers, "callers")
 	keep := set.Bool("keep", false, "keep the logs of every seed")
 	verbose := set.Bool("faults", false, "print each fault as it begins")
-	set.Check("targets", func() string {
-		return settings.FailIf(o.Targets < 1 || o.Targets > 150 || o.Entries < 1 || o.Entries > 80, "takes 1 to 150, with 1 to 80 entries")
+	set.AddCheck("targets", func() string {
+		return settings.MessageIf(o.Targets < 1 || o.Targets > 150 || o.Entries < 1 || o.Entries > 80, "takes 1 to 150, with 1 to 80 entries")
 	})
-	set.LoadOS()
+	set.LoadOrExit()
 	if *verbose {
 		o.Out = os.Stdout
 	}
--- a/apps/camphorrack-standin-target/main.go
+++ b/apps/camphorrack-standin-target/main.go
@@ -12,6 +12,6 @@
 func main() {
 	set := settings.New(target.Program, os.Stdout)
 	options := target.Define(set)
-	set.LoadOS()
+	set.LoadOrExit()
 	daemon.Run(target.Program, target.Module(options))
 }
--- a/command/cancel.go
+++ b/command/cancel.go
@@ -28,7 +28,7 @@
 // Run implements Command. The exit code is that of the first id that failed.
 func (c cancel) Run(ctx context.Context, env Env, args []string) int {
 	f := newFlags(env, c.Name())
-	ids := f.Arguments()
+	ids := f.AllowArguments()
 	if code, ok := f.load(args); !ok {
 		return code
 	}
--- a/command/config.go
+++ b/command/config.go
@@ -80,7 +80,7 @@
 
 func newConfigFlags(env Env, name string) *configFlags {
 	f := &configFlags{flags: newFlags(env, name)}
-	f.words = f.Arguments()
+	f.words = f.AllowArguments()
 	f.log = f.String("log", "", "base URL of the platform's log, such as http://10.0.0.7:7000")
 	f.author = f.String("author", userName(), "who makes the change")
 	f.reason = f.String("reason", "", "why; an exception is refused without one")
@@ -90,14 +90,14 @@
 	f.change = f.String("change", "", "resolve: id of the change that was undecided")
 	f.from = f.String("from", "", "restart: address of an entry or agent whose configuration to take")
 	f.wait = f.Duration("wait", config.DefaultWait, "how long to look for a change in the log")
-	f.Check("log", func() string {
+	f.AddCheck("log", func() string {
 		u, err := url.Parse(*f.log)
 		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
 			return "takes the base URL of the platform's log"
 		}
 		return ""
 	})
-	f.Check("wait", func() string {
+	f.AddCheck("wait", func() string {
 		if *f.wait <= 0 {
 			return "takes a time above 0"
 		}
--- a/command/drain.go
+++ b/command/drain.go
@@ -24,7 +24,7 @@
 // reached; the exit code is that of the first that failed.
 func (d drain) Run(ctx context.Context, env Env, args []string) int {
 	f := newFlags(env, d.Name())
-	addrs := f.Arguments()
+	addrs := f.AllowArguments()
 	if code, ok := f.load(args); !ok {
 		return code
 	}
--- a/command/flags.go
+++ b/command/flags.go
@@ -38,7 +38,7 @@
 	switch {
 	case err == nil:
 		return ExitDone, true
-	case errors.Is(err, flag.ErrHelp), errors.Is(err, settings.ErrPrinted):
+	case errors.Is(err, flag.ErrHelp), errors.Is(err, settings.ErrSettingsPrinted):
 		return ExitDone, false
 	}
 	fmt.Fprintln(f.env.Stderr, err)
--- a/command/status.go
+++ b/command/status.go
@@ -24,7 +24,7 @@
 // Run implements Command.
 func (s status) Run(ctx context.Context, env Env, args []string) int {
 	f := newFlags(env, s.Name())
-	ids := f.Arguments()
+	ids := f.AllowArguments()
 	wait := f.Duration("wait", 0, "how long to wait for the final answer")
 	if code, ok := f.load(args); !ok {
 		return code
--- a/command/submit.go
+++ b/command/submit.go
@@ -49,7 +49,7 @@
 	f := newFlags(env, name)
 	return &submitFlags{
 		flags:    f,
-		payloads: f.Arguments(),
+		payloads: f.AllowArguments(),
 		file:     f.String("file", "", "JSON file with team, class and tasks as in docs/api.md; - is the standard input"),
 		id:       f.String("id", "", "send again under this id, which an earlier submit printed"),
 		timeout:  f.Duration("timeout", 10*time.Second, "time from now to the deadline"),
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// EndAsked is closed when an operator asked for a drain, or when serving failed:
+// ShutdownRequested is closed when an operator asked for a drain, or when serving failed:
 // the process should stop the agent then, as after a signal.
-func (a *Agent) EndAsked() <-chan struct{} { return a.endAsked }
+func (a *Agent) ShutdownRequested() <-chan struct{} { return a.endAsked }
 
 func (a *Agent) askEnd() { a.endOnce.Do(func() { close(a.endAsked) }) }
 
--- a/internal/agent/module.go
+++ b/internal/agent/module.go
@@ -20,7 +20,7 @@
 				runtime.GOMAXPROCS(min(o.Processors, runtime.GOMAXPROCS(0)))
 				a.Start()
 			}
-			return daemon.Service{Start: start, Ended: a.EndAsked(), Stop: a.Stop}
+			return daemon.Service{Start: start, Done: a.ShutdownRequested(), Stop: a.Stop}
 		},
 	}.Module()
 }
--- a/internal/agent/options.go
+++ b/internal/agent/options.go
@@ -62,29 +62,29 @@
 }
 
 func (o *Options) check(s *settings.Set) {
-	s.Check("listen", func() string { return settings.CheckAddr(o.Listen) })
-	s.Check("worker", func() string {
-		return settings.FailIf(o.Worker == "" || len(o.Worker) > job.MaxNameBytes, "takes 1 to 64 bytes")
+	s.AddCheck("listen", func() string { return settings.CheckAddr(o.Listen) })
+	s.AddCheck("worker", func() string {
+		return settings.MessageIf(o.Worker == "" || len(o.Worker) > job.MaxNameBytes, "takes 1 to 64 bytes")
 	})
-	s.Check("entries", func() string {
+	s.AddCheck("entries", func() string {
 		for _, addr := range o.entries() {
 			if wrong := settings.CheckAddr(addr); wrong != "" {
 				return wrong
 			}
 		}
-		return settings.FailIf(len(o.entries()) == 0, "takes at least one address")
+		return settings.MessageIf(len(o.entries()) == 0, "takes at least one address")
 	})
-	s.Check("max-entries", func() string {
-		return settings.FailIf(o.MaxEntries < len(o.entries()), "takes at least the number of -entries")
+	s.AddCheck("max-entries", func() string {
+		return settings.MessageIf(o.MaxEntries < len(o.entries()), "takes at least the number of -entries")
 	})
-	s.Check("entry-sessions", func() string { return settings.FailIf(o.EntrySessions < 1, "takes 1 or more") })
-	s.Check("policy", func() string {
+	s.AddCheck("entry-sessions", func() string { return settings.MessageIf(o.EntrySessions < 1, "takes 1 or more") })
+	s.AddCheck("policy", func() string {
 		policies := []attempt.Policy{attempt.Grants, attempt.Push}
-		return settings.FailIf(!slices.Contains(policies, attempt.Policy(o.Policy)), "takes grants or push")
+		return settings.MessageIf(!slices.Contains(policies, attempt.Policy(o.Policy)), "takes grants or push")
 	})
-	s.Check("processors", func() string { return settings.FailIf(o.Processors < 1, "takes 1 or more") })
-	s.Check("log-level", func() string { return settings.FailIf(o.LogLevel < 0 || o.LogLevel > 2, "takes 0, 1 or 2") })
-	s.Check("drain-timeout", func() string { return settings.FailIf(o.DrainTimeout <= 0, "takes more than 0") })
+	s.AddCheck("processors", func() string { return settings.MessageIf(o.Processors < 1, "takes 1 or more") })
+	s.AddCheck("log-level", func() string { return settings.MessageIf(o.LogLevel < 0 || o.LogLevel > 2, "takes 0, 1 or 2") })
+	s.AddCheck("drain-timeout", func() string { return settings.MessageIf(o.DrainTimeout <= 0, "takes more than 0") })
 }
 
 func (o *Options) entrySessions() int {
@@ -94,4 +94,4 @@
 	return o.EntrySessions
 }
 
-func (o *Options) entries() []string { return settings.List(o.Entries) }
+func (o *Options) entries() []string { return settings.SplitList(o.Entries) }
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -19,7 +19,7 @@
 // Module wires the daemon for fx, with a logger that outlives it.
 func (p Program[D]) Module() fx.Option {
 	return fx.Options(
-		fx.Provide(func(life fx.Lifecycle) logr.Logger { return Logger(life, p.Name, p.LogLevel) }, p.New),
+		fx.Provide(func(life fx.Lifecycle) logr.Logger { return NewLogger(life, p.Name, p.LogLevel) }, p.New),
 		fx.StopTimeout(p.StopTimeout),
 		fx.Invoke(func(life fx.Lifecycle, shutdown fx.Shutdowner, d D) { p.Service(d).Register(life, shutdown) }),
 	)
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -13,10 +13,10 @@
 // Service is a daemon as fx runs it.
 type Service struct {
 	Start func()
-	// Ended is closed when the service has finished by itself, such as after a drain
+	// Done is closed when the service has finished by itself, such as after a drain
 	// that an operator asked for; the program then ends like after a signal.
-	Ended <-chan struct{}
-	Stop  func(context.Context) error
+	Done <-chan struct{}
+	Stop func(context.Context) error
 }
 
 // Register ties the service to the program's life.
@@ -25,7 +25,7 @@
 		OnStart: func(context.Context) error {
 			s.Start()
 			go func() {
-				<-s.Ended
+				<-s.Done
 				_ = shutdown.Shutdown() // fails only when the program is ending already
 			}()
 			return nil
@@ -34,9 +34,9 @@
 	})
 }
 
-// Logger returns a program's logger to stdout. Made before the daemon, as fx does,
+// NewLogger returns a program's logger to stdout. Made before the daemon, as fx does,
 // it is closed after the daemon has stopped.
-func Logger(life fx.Lifecycle, program string, level int) logr.Logger {
+func NewLogger(life fx.Lifecycle, program string, level int) logr.Logger {
 	buffer := logging.NewBuffer(os.Stdout)
 	life.Append(fx.StopHook(buffer.Close))
 	return logging.New(buffer, program, level)
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -72,9 +72,9 @@
 }
 
 func (o *Options) check(s *settings.Set, key *string) {
-	s.Check("listen", func() string { return settings.CheckAddr(o.Listen) })
-	s.Check("advertise", o.checkAdvertise)
-	s.Check("entries", func() string {
+	s.AddCheck("listen", func() string { return settings.CheckAddr(o.Listen) })
+	s.AddCheck("advertise", o.checkAdvertise)
+	s.AddCheck("entries", func() string {
 		for _, addr := range o.entries() {
 			if wrong := settings.CheckAddr(addr); wrong != "" {
 				return wrong
@@ -82,22 +82,22 @@
 		}
 		return ""
 	})
-	s.Check("key", func() string {
+	s.AddCheck("key", func() string {
 		o.Key = *key
-		return settings.FailIf(len(o.Key) < minKeyBytes, "takes at least 16 bytes")
+		return settings.MessageIf(len(o.Key) < minKeyBytes, "takes at least 16 bytes")
 	})
-	s.Check("max-timeout", func() string {
-		return settings.FailIf(o.MaxTimeout < time.Second || o.MaxTimeout > 24*time.Hour, "takes 1s to 24h")
+	s.AddCheck("max-timeout", func() string {
+		return settings.MessageIf(o.MaxTimeout < time.Second || o.MaxTimeout > 24*time.Hour, "takes 1s to 24h")
 	})
-	s.Check("log", func() string { return checkLog(o.Log) })
-	s.Check("snapshot-every", func() string { return settings.FailIf(o.SnapshotEvery < time.Second, "takes 1s or more") })
-	s.Check("max-jobs", func() string { return settings.FailIf(o.MaxJobs < 1, "takes 1 or more") })
-	s.Check("log-placements", func() string { return settings.FailIf(o.LogPlacements < 0, "takes 0 or more") })
-	s.Check("log-level", func() string { return settings.FailIf(o.LogLevel < 0 || o.LogLevel > 2, "takes 0, 1 or 2") })
-	s.Check("policy", func() string {
-		return settings.FailIf(!slices.Contains(owner.Policies, owner.Policy(o.Policy)), "takes "+policyNames())
+	s.AddCheck("log", func() string { return checkLog(o.Log) })
+	s.AddCheck("snapshot-every", func() string { return settings.MessageIf(o.SnapshotEvery < time.Second, "takes 1s or more") })
+	s.AddCheck("max-jobs", func() string { return settings.MessageIf(o.MaxJobs < 1, "takes 1 or more") })
+	s.AddCheck("log-placements", func() string { return settings.MessageIf(o.LogPlacements < 0, "takes 0 or more") })
+	s.AddCheck("log-level", func() string { return settings.MessageIf(o.LogLevel < 0 || o.LogLevel > 2, "takes 0, 1 or 2") })
+	s.AddCheck("policy", func() string {
+		return settings.MessageIf(!slices.Contains(owner.Policies, owner.Policy(o.Policy)), "takes "+policyNames())
 	})
-	s.Check("drain-timeout", func() string { return settings.FailIf(o.DrainTimeout < 0, "takes 0 or more") })
+	s.AddCheck("drain-timeout", func() string { return settings.MessageIf(o.DrainTimeout < 0, "takes 0 or more") })
 }
 
 func checkLog(base string) string {
@@ -105,7 +105,7 @@
 		return ""
 	}
 	u, err := url.Parse(base)
-	return settings.FailIf(err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https", "takes a base URL")
+	return settings.MessageIf(err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https", "takes a base URL")
 }
 
 // checkAdvertise refuses an address that others can't dial. Tokens carry it, so a
@@ -119,7 +119,7 @@
 	if o.Advertise == "" && settings.CheckAddr(o.Listen) != "" {
 		return "" // reported for -listen
 	}
-	return settings.FailIf(err != nil || parsed.Addr().IsUnspecified(), from+"takes ip:port with a single address")
+	return settings.MessageIf(err != nil || parsed.Addr().IsUnspecified(), from+"takes ip:port with a single address")
 }
 
 func policyNames() string {
@@ -130,7 +130,7 @@
 	return strings.Join(names, ", ")
 }
 
-func (o *Options) entries() []string { return settings.List(o.Entries) }
+func (o *Options) entries() []string { return settings.SplitList(o.Entries) }
 
 func (o *Options) key() job.Key { return job.Key(o.Key) }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,8 +22,8 @@
 
 const masked = "(secret)"
 
-// ErrPrinted is returned when -print-settings asked for the settings only.
-var ErrPrinted = errors.New("settings printed")
+// ErrSettingsPrinted is returned when -print-settings asked for the settings only.
+var ErrSettingsPrinted = errors.New("settings printed")
 
 // Set is the settings of one program.
 type Set struct {
@@ -56,19 +56,19 @@
 	return s.String(name, "", usage)
 }
 
-// Arguments lets the program take arguments that are no flags, in any place.
-func (s *Set) Arguments() *[]string {
+// AllowArguments lets the program take arguments that are no flags, in any place.
+func (s *Set) AllowArguments() *[]string {
 	s.arguments = new([]string)
 	return s.arguments
 }
 
-// Check adds a condition on one setting; run returns what is wrong, or "".
-func (s *Set) Check(name string, run func() string) {
+// AddCheck adds a condition on one setting; run returns what is wrong, or "".
+func (s *Set) AddCheck(name string, run func() string) {
 	s.checks = append(s.checks, check{name, run})
 }
 
 // Load reads the environment and then the arguments, and runs every check. The
-// error joins a *fault.Fault for each thing that is wrong, or is ErrPrinted or
+// error joins a *fault.Fault for each thing that is wrong, or is ErrSettingsPrinted or
 // flag.ErrHelp.
 func (s *Set) Load(args []string, getenv func(string) (string, bool)) error {
 	faults := s.readEnv(getenv)
@@ -90,7 +90,7 @@
 	}
 	if *s.print {
 		s.Print()
-		return ErrPrinted
+		return ErrSettingsPrinted
 	}
 	return nil
 }
@@ -158,22 +158,22 @@
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
-// LoadOS is Load with the process's own arguments and environment. It prints
+// LoadOrExit is Load with the process's own arguments and environment. It prints
 // what is wrong and exits: 0 after help or -print-settings, 2 on a fault.
-func (s *Set) LoadOS() {
+func (s *Set) LoadOrExit() {
 	err := s.Load(os.Args[1:], os.LookupEnv)
 	switch {
 	case err == nil:
 		return
-	case errors.Is(err, ErrPrinted), errors.Is(err, flag.ErrHelp):
+	case errors.Is(err, ErrSettingsPrinted), errors.Is(err, flag.ErrHelp):
 		os.Exit(0)
 	}
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(2)
 }
 
-// FailIf returns what is wrong, or "", for Check.
-func FailIf(wrong bool, text string) string {
+// MessageIf returns what is wrong, or "", for Check.
+func MessageIf(wrong bool, text string) string {
 	if wrong {
 		return text
 	}
@@ -183,11 +183,11 @@
 // CheckAddr returns what is wrong with an address of the form ip:port, or "".
 func CheckAddr(addr string) string {
 	_, err := netip.ParseAddrPort(addr)
-	return FailIf(err != nil, "takes ip:port, got "+addr)
+	return MessageIf(err != nil, "takes ip:port, got "+addr)
 }
 
-// List returns the parts of a comma-separated setting; empty ones are left out.
-func List(text string) []string {
+// SplitList returns the parts of a comma-separated setting; empty ones are left out.
+func SplitList(text string) []string {
 	var parts []string
 	for _, part := range strings.Split(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,7 +36,7 @@
 		key = set.Secret("key", "secret of the fleet")
 		size = set.Int("size", 7, "size")
 		pause = set.Duration("long-pause", time.Second, "pause")
-		set.Check("size", func() string {
+		set.AddCheck("size", func() string {
 			if *size < 1 {
 				return "takes 1 or more"
 			}
@@ -69,13 +69,13 @@
 	// must not travel with them.
 	It("never prints a secret", func() {
 		err := set.Load([]string{"-print-settings"}, env(map[string]string{"CAMPHORRACK_KEY": "hunter2"}))
-		Expect(errors.Is(err, ErrPrinted)).To(BeTrue())
+		Expect(errors.Is(err, ErrSettingsPrinted)).To(BeTrue())
 		Expect(out.String()).To(And(ContainSubstring("key=(secret)"), ContainSubstring("size=7")))
 		Expect(out.String()).NotTo(ContainSubstring("hunter2"))
 	})
 
 	It("takes arguments between flags where the program has any", func() {
-		arguments := set.Arguments()
+		arguments := set.AllowArguments()
 		Expect(set.Load([]string{"a", "-size", "4", "b"}, env(nil))).To(Succeed())
 		Expect(*arguments).To(Equal([]string{"a", "b"}))
 		Expect(*size).To(Equal(4))
--- a/internal/standin/target/options.go
+++ b/internal/standin/target/options.go
@@ -36,15 +36,15 @@
 	s.IntVar(&o.CPUMilli, "cpu-milli", 64000, "processors of the worker, in thousandths")
 	s.IntVar(&o.MemoryMB, "memory-mb", 262144, "memory of the worker")
 	s.IntVar(&o.Accelerators, "accelerators", 0, "accelerators of the worker")
-	s.Check("listen", func() string { return settings.CheckAddr(o.Listen) })
-	s.Check("agent", func() string { return settings.CheckAddr(o.Agent) })
-	s.Check("speed", func() string {
+	s.AddCheck("listen", func() string { return settings.CheckAddr(o.Listen) })
+	s.AddCheck("agent", func() string { return settings.CheckAddr(o.Agent) })
+	s.AddCheck("speed", func() string {
 		if o.Speed <= 0 || o.Declared < 0 {
 			return "speeds are above 0"
 		}
 		return ""
 	})
-	s.Check("slots", func() string {
+	s.AddCheck("slots", func() string {
 		if o.Slots < 1 {
 			return "takes 1 or more"
 		}
@@ -53,7 +53,7 @@
 	return o
 }
 
-func (o *Options) classes() []string { return settings.List(o.Classes) }
+func (o *Options) classes() []string { return settings.SplitList(o.Classes) }
 
 func (o *Options) declaredSpeed() float64 {
 	if o.Declared == 0 {
