--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -43,7 +43,7 @@
 	stopConf    context.CancelFunc
 	listener    net.Listener
 	server      *http.Server
-	unused      *httpconn.Unused
+	unused      *httpconn.UnusedConns
 
 	lastConn  atomic.Uint64
 	open      atomic.Int64 // sessions that are welcomed
@@ -65,14 +65,14 @@
 	s := newState(o, log, a.metrics)
 	s.runTask = a.runTask
 	a.incarnation = s.incarnation
-	a.control = newControl(s, a.clock, a.metrics.Turns(log))
+	a.control = newControl(s, a.clock, a.metrics.TurnObserver(log))
 	a.dialers = newDialers(a)
 	a.metrics.members(a.dialers)
 	a.holder = config.NewHolder(config.Where{DataCentre: o.DataCentre, Rack: o.Rack}, a.clock, log)
 	a.fanOut = config.NewFanOut(a.holder)
-	a.metrics.Config(a.holder)
-	a.unused = httpconn.NewUnused()
-	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout, ConnState: a.unused.Note}
+	a.metrics.RegisterConfig(a.holder)
+	a.unused = httpconn.NewUnusedConns()
+	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout, ConnState: a.unused.Track}
 	return a, nil
 }
 
@@ -95,7 +95,7 @@
 }
 
 func (a *Agent) serve() {
-	if err := a.server.Serve(httpconn.LogAccepts(a.listener, a.log)); !errors.Is(err, http.ErrServerClosed) {
+	if err := a.server.Serve(httpconn.NewLoggingListener(a.listener, a.log)); !errors.Is(err, http.ErrServerClosed) {
 		event.Log(a.log, event.ProcessStopping, "error", err.Error())
 		a.askEnd() // without announcements there is no target
 	}
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -31,7 +31,7 @@
 type controlLoop struct{ *control.Loop[*state] }
 
 func newControl(s *state, k clock.Clock, turned func(control.Turn)) *controlLoop {
-	stalls := gauges.Stalls(s.log, tickEvery)
+	stalls := gauges.StallObserver(s.log, tickEvery)
 	return &controlLoop{control.New(control.Options[*state]{
 		State: s, Clock: k, Turned: turned,
 		Tick: func(now time.Time, s *state) {
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -43,10 +43,10 @@
 
 // members shows which entries the agent knows and keeps sessions with.
 func (c *counters) members(d *dialers) {
-	c.Gauge("entries.known", func() int64 { return d.counts().known })
-	c.Gauge("entries.connected", func() int64 { return d.counts().connected })
-	c.Gauge("entries.connected_home", func() int64 { return d.counts().home })
-	c.Gauge("entries.down", func() int64 { return d.counts().down })
+	c.RegisterGauge("entries.known", func() int64 { return d.counts().known })
+	c.RegisterGauge("entries.connected", func() int64 { return d.counts().connected })
+	c.RegisterGauge("entries.connected_home", func() int64 { return d.counts().home })
+	c.RegisterGauge("entries.down", func() int64 { return d.counts().down })
 }
 
 // update copies the control state's figures.
@@ -56,12 +56,12 @@
 	}
 	remembered := 0
 	for _, o := range s.Owners {
-		remembered += o.Remembered
+		remembered += o.RememberedAttempts
 	}
 	set("running", int64(s.Running))
 	set("waiting", int64(s.Waiting))
-	set("unspent_credits", int64(s.Unspent))
-	set("granted_credits", int64(s.Granted))
+	set("unspent_credits", int64(s.UnspentCredits))
+	set("granted_credits", int64(s.GrantedCredits))
 	set("remembered", int64(remembered))
 	set("owners", int64(len(s.Owners)))
 }
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -253,8 +253,8 @@
 	// lock that is held here. The error means that the process ends.
 	go func() {
 		_ = s.control.Push(func(_ time.Time, st *state) {
-			st.table.Retire(s.id, on)
-			if on && st.table.Quiet(s.id) {
+			st.table.SetRetired(s.id, on)
+			if on && st.table.CanClose(s.id) {
 				d.close(s)
 			}
 		})
--- a/internal/agent/state.go
+++ b/internal/agent/state.go
@@ -89,7 +89,7 @@
 	if out.unreachable && c == s.caller {
 		s.suspect(now)
 	}
-	s.table.Finished(now, k, out.Outcome)
+	s.table.CompleteCall(now, k, out.Outcome)
 }
 
 // suspect takes a target that accepts no connection out of service until it
--- a/internal/attempt/bench_test.go
+++ b/internal/attempt/bench_test.go
@@ -40,7 +40,7 @@
 			b.Fatal(err)
 		}
 		table.Flush()
-		table.Finished(epoch, out.running[0], succeeded)
+		table.CompleteCall(epoch, out.running[0], succeeded)
 		out.running = out.running[:0]
 		table.Flush()
 	}
@@ -61,7 +61,7 @@
 			if err := table.Receive(epoch, 1, &wire.ToAgent{Starts: []wire.Start{start(seq)}}); err != nil {
 				b.Fatal(err)
 			}
-			table.Finished(epoch, out.running[0], attempt.Outcome{State: wire.Succeeded})
+			table.CompleteCall(epoch, out.running[0], attempt.Outcome{State: wire.Succeeded})
 			out.running = out.running[:0]
 			acks = append(acks, seq)
 			table.Flush()
--- a/internal/attempt/granter.go
+++ b/internal/attempt/granter.go
@@ -28,10 +28,10 @@
 		return nil
 	}
 	if d.Waiting < 0 {
-		return &ProtocolError{Owner: o.incarnation, Breach: BadDemand}
+		return &ProtocolError{Owner: o.incarnation, Violation: NegativeDemand}
 	}
 	if !g.sharer.SetDemand(uint64(o.incarnation), d.Waiting, d.RankMs, d.Returned) {
-		return &ProtocolError{Owner: o.incarnation, Breach: BadReturn}
+		return &ProtocolError{Owner: o.incarnation, Violation: ExcessReturn}
 	}
 	if d.Returned > o.credits.returned {
 		g.history.add(g.now, stepReturn, Key{Owner: o.incarnation}, int(d.Returned-o.credits.returned))
@@ -47,7 +47,7 @@
 		return nil
 	}
 	if !g.sharer.Spend(uint64(o.incarnation)) {
-		return &ProtocolError{Owner: o.incarnation, Breach: NoCredit, Seq: seq}
+		return &ProtocolError{Owner: o.incarnation, Violation: StartWithoutCredit, Seq: seq}
 	}
 	o.credits.spent++
 	return nil
--- a/internal/attempt/intake.go
+++ b/internal/attempt/intake.go
@@ -33,7 +33,7 @@
 // start takes one start. The error is a *ProtocolError.
 func (i intake) start(o *owner, s *wire.Start) error {
 	if s.Seq == 0 {
-		return &ProtocolError{Owner: o.incarnation, Breach: SeqZero}
+		return &ProtocolError{Owner: o.incarnation, Violation: ZeroSeq}
 	}
 	if a := o.attempts[s.Seq]; a != nil {
 		i.reporter.report(o, s.Seq, a)
@@ -45,7 +45,7 @@
 		return nil
 	}
 	if len(o.attempts) >= maxRemembered {
-		return &ProtocolError{Owner: o.incarnation, Breach: TooMany, Seq: s.Seq}
+		return &ProtocolError{Owner: o.incarnation, Violation: TooManyUnsettled, Seq: s.Seq}
 	}
 	if err := i.granter.spend(o, s.Seq); err != nil {
 		return err
--- a/internal/attempt/random_test.go
+++ b/internal/attempt/random_test.go
@@ -246,7 +246,7 @@
 	k := w.active[at]
 	w.active = slices.Delete(w.active, at, at+1)
 	state := rapid.SampledFrom([]wire.AttemptState{wire.Succeeded, wire.FailedRun, wire.Unknown}).Draw(t, "state")
-	w.table.Finished(w.now, k, attempt.Outcome{State: state})
+	w.table.CompleteCall(w.now, k, attempt.Outcome{State: state})
 	w.table.Flush()
 }
 
@@ -295,7 +295,7 @@
 		for len(w.active) > 0 {
 			k := w.active[0]
 			w.active = w.active[1:]
-			w.table.Finished(w.now, k, attempt.Outcome{State: wire.Succeeded})
+			w.table.CompleteCall(w.now, k, attempt.Outcome{State: wire.Succeeded})
 			w.table.Flush()
 		}
 		for _, id := range slices.Sorted(maps.Keys(w.pipes)) {
@@ -325,7 +325,7 @@
 		})
 		w.calm()
 		s := w.table.Status()
-		if s.Running != 0 || s.Waiting != 0 || w.policy == attempt.Grants && s.Unspent != w.slots {
+		if s.Running != 0 || s.Waiting != 0 || w.policy == attempt.Grants && s.UnspentCredits != w.slots {
 			t.Fatalf("slots lost: %+v", s)
 		}
 		for _, o := range w.owners {
@@ -334,7 +334,7 @@
 			}
 		}
 		for _, o := range s.Owners {
-			if o.Connected && o.Remembered > 0 {
+			if o.Connected && o.RememberedAttempts > 0 {
 				t.Fatalf("attempts remembered after all were settled: %+v", o)
 			}
 		}
--- a/internal/attempt/settler.go
+++ b/internal/attempt/settler.go
@@ -48,13 +48,13 @@
 func (s settler) askOrRefuse(o *owner, seq uint64, reason wire.Reason) error {
 	switch a := o.attempts[seq]; {
 	case seq == 0:
-		return &ProtocolError{Owner: o.incarnation, Breach: SeqZero}
+		return &ProtocolError{Owner: o.incarnation, Violation: ZeroSeq}
 	case a != nil:
 		s.reporter.report(o, seq, a)
 	case o.mayHaveForgotten(seq):
 		s.reporter.reportForgotten(o, seq)
 	case len(o.attempts) >= maxRemembered:
-		return &ProtocolError{Owner: o.incarnation, Breach: TooMany, Seq: seq}
+		return &ProtocolError{Owner: o.incarnation, Violation: TooManyUnsettled, Seq: seq}
 	default:
 		a = &attempt{state: wire.NotRun, reason: reason}
 		o.attempts[seq] = a
--- a/internal/attempt/status.go
+++ b/internal/attempt/status.go
@@ -6,14 +6,14 @@
 
 // Status is what operators see of the table.
 type Status struct {
-	Target   TargetStatus  `json:"target"`
-	Draining bool          `json:"draining"`
-	Running  int           `json:"running"`
-	Waiting  int           `json:"waiting"`
-	Unspent  int           `json:"unspent_credits"`
-	Granted  uint64        `json:"granted_credits"`
-	Finished uint64        `json:"finished_calls"`
-	Owners   []OwnerStatus `json:"owners"`
+	Target         TargetStatus  `json:"target"`
+	Draining       bool          `json:"draining"`
+	Running        int           `json:"running"`
+	Waiting        int           `json:"waiting"`
+	UnspentCredits int           `json:"unspent_credits"`
+	GrantedCredits uint64        `json:"granted_credits"`
+	FinishedCalls  uint64        `json:"finished_calls"`
+	Owners         []OwnerStatus `json:"owners"`
 }
 
 // TargetStatus is the target's state as owners see it.
@@ -28,12 +28,12 @@
 
 // OwnerStatus is the part of one owner.
 type OwnerStatus struct {
-	Incarnation string `json:"incarnation"`
-	Connected   bool   `json:"connected"`
-	Remembered  int    `json:"remembered_attempts"`
-	Unacked     int    `json:"unacknowledged_reports"`
-	Unspent     int    `json:"unspent_credits"`
-	Waiting     int    `json:"waiting_at_owner"`
+	Incarnation           string `json:"incarnation"`
+	Connected             bool   `json:"connected"`
+	RememberedAttempts    int    `json:"remembered_attempts"`
+	UnacknowledgedReports int    `json:"unacknowledged_reports"`
+	UnspentCredits        int    `json:"unspent_credits"`
+	WaitingAtOwner        int    `json:"waiting_at_owner"`
 }
 
 // Status returns the table's state in numbers.
@@ -41,7 +41,7 @@
 	b := t.b
 	s := Status{
 		Target: targetStatus(b.announced()), Draining: b.draining, Running: b.running, Waiting: len(b.queue),
-		Unspent: b.sharer.Outstanding(), Granted: b.granted, Finished: b.finished, Owners: []OwnerStatus{},
+		UnspentCredits: b.sharer.Outstanding(), GrantedCredits: b.granted, FinishedCalls: b.finished, Owners: []OwnerStatus{},
 	}
 	for _, o := range b.owners {
 		s.Owners = append(s.Owners, ownerStatus(o))
@@ -56,10 +56,10 @@
 func ownerStatus(o *owner) OwnerStatus {
 	s := OwnerStatus{
 		Incarnation: o.incarnation.String(), Connected: o.conn != 0,
-		Remembered: len(o.attempts), Unacked: o.unacked, Waiting: o.waiting,
+		RememberedAttempts: len(o.attempts), UnacknowledgedReports: o.unacked, WaitingAtOwner: o.waiting,
 	}
 	if s.Connected {
-		s.Unspent = o.credits.unspent()
+		s.UnspentCredits = o.credits.unspent()
 	}
 	return s
 }
--- a/internal/attempt/table.go
+++ b/internal/attempt/table.go
@@ -115,19 +115,19 @@
 	t.connector.disconnect(conn)
 }
 
-// Retire grants nothing more on a connection and calls its credits back, so that
+// SetRetired grants nothing more on a connection and calls its credits back, so that
 // Quiet becomes true; with on false, the connection takes part again.
-func (t *Table) Retire(conn ConnID, on bool) {
+func (t *Table) SetRetired(conn ConnID, on bool) {
 	if o := t.b.conns[conn]; o != nil {
 		t.b.sharer.SetRetired(uint64(o.incarnation), on)
 	}
 }
 
-// Quiet reports whether the agent may close a connection that counts and that was
+// CanClose reports whether the agent may close a connection that counts and that was
 // retired: the owner can start nothing on it and every report has arrived. Closing
 // it earlier could lose a start under way, and its job would hang until its
 // deadline. It is never true under Push, where nothing counts the starts.
-func (t *Table) Quiet(conn ConnID) bool {
+func (t *Table) CanClose(conn ConnID) bool {
 	o := t.b.conns[conn]
 	if o == nil || t.b.policy == Push || o.credits.unspent() > 0 || o.unacked > 0 {
 		return false
@@ -181,8 +181,8 @@
 	return t.granter.hear(o, f.Demand)
 }
 
-// Finished tells how the call for k ended.
-func (t *Table) Finished(now time.Time, k Key, out Outcome) {
+// CompleteCall tells how the call for k ended.
+func (t *Table) CompleteCall(now time.Time, k Key, out Outcome) {
 	t.b.now = now
 	t.runner.finished(k, out)
 }
--- a/internal/attempt/table_test.go
+++ b/internal/attempt/table_test.go
@@ -140,7 +140,7 @@
 		connect(1, ownerA)
 		receive(1, starts(1, 2))
 		table.Disconnect(epoch, 1)
-		table.Finished(epoch, attempt.Key{Owner: ownerA, Seq: 1}, succeeded)
+		table.CompleteCall(epoch, attempt.Key{Owner: ownerA, Seq: 1}, succeeded)
 		connect(2, ownerA)
 		receive(2, &wire.ToAgent{Queries: []uint64{1}})
 		Expect(out.report(2, 1).Result).To(Equal([]byte("r")))
@@ -150,7 +150,7 @@
 		late := epoch.Add(time.Minute)
 		table.Tick(late)
 		Expect(out.aborted).To(ConsistOf(attempt.Key{Owner: ownerA, Seq: 2}))
-		table.Finished(late, attempt.Key{Owner: ownerA, Seq: 2}, attempt.Outcome{State: wire.Unknown})
+		table.CompleteCall(late, attempt.Key{Owner: ownerA, Seq: 2}, attempt.Outcome{State: wire.Unknown})
 		table.Tick(late)
 		Expect(table.Status().Owners).To(BeEmpty())
 		connect(3, ownerA)
@@ -168,7 +168,7 @@
 		receive(1, &wire.ToAgent{Cancels: []uint64{1, 2, 3, 4, 5}})
 		Expect(out.aborted).To(HaveLen(4))
 		for seq := uint64(1); seq <= 4; seq++ {
-			table.Finished(epoch, attempt.Key{Owner: ownerA, Seq: seq}, attempt.Outcome{State: wire.Unknown})
+			table.CompleteCall(epoch, attempt.Key{Owner: ownerA, Seq: seq}, attempt.Outcome{State: wire.Unknown})
 		}
 		table.Flush()
 		Expect(out.report(1, 1).State).To(Equal(wire.Unknown))
@@ -195,7 +195,7 @@
 		receive(1, starts(1))
 		connect(3, ownerA)
 		err := table.Receive(epoch, 3, starts(1))
-		Expect(err).To(MatchError(&attempt.ProtocolError{Owner: ownerA, Breach: attempt.NoCredit, Seq: 1}))
+		Expect(err).To(MatchError(&attempt.ProtocolError{Owner: ownerA, Violation: attempt.StartWithoutCredit, Seq: 1}))
 		table.Flush()
 		receive(3, starts(1)) // was on its way when the connection was closed
 		Expect(out.runs).To(BeEmpty())
@@ -217,7 +217,7 @@
 		table.Flush()
 		Expect(out.report(1, 3).Reason).To(Equal(wire.ReasonLeaving))
 		for _, seq := range []uint64{1, 2} {
-			table.Finished(epoch, attempt.Key{Owner: ownerA, Seq: seq}, succeeded)
+			table.CompleteCall(epoch, attempt.Key{Owner: ownerA, Seq: seq}, succeeded)
 		}
 		receive(1, &wire.ToAgent{Demand: &wire.Demand{Returned: 1}})
 		Expect(table.Idle()).To(BeFalse()) // the reports have not arrived
@@ -249,8 +249,8 @@
 		receive(2, starts(1))
 		receive(1, &wire.ToAgent{Cancels: []uint64{2}})
 		table.Disconnect(epoch, 2)
-		table.Finished(epoch, attempt.Key{Owner: ownerA, Seq: 1}, succeeded)
-		table.Finished(epoch, attempt.Key{Owner: ownerA, Seq: 3}, succeeded)
+		table.CompleteCall(epoch, attempt.Key{Owner: ownerA, Seq: 1}, succeeded)
+		table.CompleteCall(epoch, attempt.Key{Owner: ownerA, Seq: 3}, succeeded)
 		table.Flush()
 		Expect(out.order).To(Equal([]attempt.Key{{Owner: ownerA, Seq: 1}, {Owner: ownerA, Seq: 3}}))
 		Expect(out.report(1, 2).State).To(Equal(wire.NotRun))
@@ -266,6 +266,6 @@
 	It("closes the connection of an owner that returns credits it never had", func() {
 		connect(1, ownerA)
 		f := &wire.ToAgent{Demand: &wire.Demand{Returned: math.MaxUint64}}
-		Expect(table.Receive(epoch, 1, f)).To(MatchError(&attempt.ProtocolError{Owner: ownerA, Breach: attempt.BadReturn}))
+		Expect(table.Receive(epoch, 1, f)).To(MatchError(&attempt.ProtocolError{Owner: ownerA, Violation: attempt.ExcessReturn}))
 	})
 })
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -119,7 +119,7 @@
 	d.loop = control.New(control.Options[*state]{
 		State: d.newState(), Clock: d.clock, MaxCommands: maxCommands, MaxBatch: maxBatch,
 		Tick: d.tick, Pace: func(*state) time.Duration { return tickEvery }, Flush: func(s *state) { s.core.Flush() },
-		Turned: d.metrics.Turns(log),
+		Turned: d.metrics.TurnObserver(log),
 	})
 	if err := d.listen(); err != nil {
 		d.servers.Close()
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -63,7 +63,7 @@
 }
 
 func newControl(c core, k clock.Clock, log logr.Logger, turned func(control.Turn)) *controlLoop {
-	stalls := gauges.Stalls(log, idleTickEvery)
+	stalls := gauges.StallObserver(log, idleTickEvery)
 	return &controlLoop{Loop: control.New(control.Options[core]{
 		State: c, Clock: k,
 		Tick: func(now time.Time, c core) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -44,7 +44,7 @@
 	control  *controlLoop
 	listener net.Listener
 	server   *http.Server
-	unused   *httpconn.Unused
+	unused   *httpconn.UnusedConns
 
 	draining  atomic.Bool
 	drainOnce sync.Once
@@ -74,7 +74,7 @@
 	e.control = newControl(owner.New(owner.Options{
 		Owner: self, Outbox: out, Log: log, Policy: owner.Policy(o.Policy), MaxJobs: o.MaxJobs,
 		LogEvery: o.LogPlacements, MaxTimeout: o.MaxTimeout, DataCentre: o.DataCentre, Entries: o.entries(), Seed: uint64(self.Incarnation),
-	}), e.clock, log, metrics.Turns(log))
+	}), e.clock, log, metrics.TurnObserver(log))
 	e.build(self, out, metrics)
 	return e, nil
 }
@@ -107,10 +107,10 @@
 	}
 	e.api.config = newConfiguration(e)
 	e.api.agents.config = e.api.config
-	metrics.Config(e.api.config.holder)
-	e.unused = httpconn.NewUnused()
+	metrics.RegisterConfig(e.api.config.holder)
+	e.unused = httpconn.NewUnusedConns()
 	e.server = &http.Server{
-		ConnState: e.unused.Note,
+		ConnState: e.unused.Track,
 		Handler:   e.api.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		WriteTimeout: e.o.MaxTimeout + writeSlack,
 		// What the library would print to stderr as plain text is for debugging only.
@@ -126,7 +126,7 @@
 	go e.control.Run()
 	e.api.config.start(e.control)
 	go func() {
-		if err := e.server.Serve(httpconn.LogAccepts(e.listener, e.log)); !errors.Is(err, http.ErrServerClosed) {
+		if err := e.server.Serve(httpconn.NewLoggingListener(e.listener, e.log)); !errors.Is(err, http.ErrServerClosed) {
 			e.finish(errors.Wrap(err, "serve"))
 		}
 	}()
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -215,7 +215,7 @@
 		t.Skip("no live agent on it")
 	}
 	l.retired = rapid.IntRange(0, 3).Draw(t, "back") > 0
-	l.agent.table.Retire(attempt.ConnID(l.id), l.retired)
+	l.agent.table.SetRetired(attempt.ConnID(l.id), l.retired)
 	l.agent.table.Flush()
 }
 
@@ -225,7 +225,7 @@
 func (w *world) drawGiveUp(*rapid.T) {
 	for _, l := range w.links {
 		if !l.retired || !l.agentOpen || l.agent.frozen || w.agents[l.agent.slot] != l.agent ||
-			!l.agent.table.Quiet(attempt.ConnID(l.id)) {
+			!l.agent.table.CanClose(attempt.ConnID(l.id)) {
 			continue
 		}
 		if n := w.openAt(l.entry, l.agent); n > 0 && w.alive(l.entry) {
@@ -367,7 +367,7 @@
 	}
 	for _, a := range w.agents {
 		status := a.table.Status()
-		if status.Running > 0 || status.Unspent != a.target.Slots {
+		if status.Running > 0 || status.UnspentCredits != a.target.Slots {
 			w.t.Fatalf("agent %d does not have every slot granted again: %+v", a.slot, status)
 		}
 	}
--- a/internal/fleet/world_test.go
+++ b/internal/fleet/world_test.go
@@ -382,6 +382,6 @@
 		out.Reason = wire.ReasonTarget
 		w.starts[fmt.Sprintf("%s/%d", c.start.Job, c.start.Task)]--
 	}
-	a.table.Finished(a.now(), c.key, out)
+	a.table.CompleteCall(a.now(), c.key, out)
 	a.table.Flush()
 }
--- a/internal/gauges/gauges.go
+++ b/internal/gauges/gauges.go
@@ -20,28 +20,28 @@
 // commands that wait for its control goroutine.
 func New(sessions *session.Counters, queued func() int) Set {
 	s := Set{metrics.NewRegistry()}
-	s.Gauge("control.queued_commands", func() int64 { return int64(queued()) })
-	s.Gauge("sessions.frames_in", sessions.FramesIn.Load)
-	s.Gauge("sessions.frames_out", sessions.FramesOut.Load)
-	s.Gauge("sessions.bytes_in", sessions.BytesIn.Load)
-	s.Gauge("sessions.bytes_out", sessions.BytesOut.Load)
-	s.Gauge("sessions.heartbeats", sessions.Heartbeats.Load)
-	s.Gauge("sessions.closed_silent", sessions.ClosedSilent.Load)
-	s.Gauge("invariants.broken", invariant.Breaches)
-	s.Gauge("process.goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
-	s.Gauge("process.cpu_us", processorMicroseconds)
+	s.RegisterGauge("control.queued_commands", func() int64 { return int64(queued()) })
+	s.RegisterGauge("sessions.frames_in", sessions.FramesIn.Load)
+	s.RegisterGauge("sessions.frames_out", sessions.FramesOut.Load)
+	s.RegisterGauge("sessions.bytes_in", sessions.BytesIn.Load)
+	s.RegisterGauge("sessions.bytes_out", sessions.BytesOut.Load)
+	s.RegisterGauge("sessions.heartbeats", sessions.Heartbeats.Load)
+	s.RegisterGauge("sessions.closed_silent", sessions.ClosedSilent.Load)
+	s.RegisterGauge("invariants.broken", invariant.Breaches)
+	s.RegisterGauge("process.goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
+	s.RegisterGauge("process.cpu_us", processorMicroseconds)
 	return s
 }
 
-// Gauge adds a gauge that is read whenever the metrics are.
-func (s Set) Gauge(name string, read func() int64) {
+// RegisterGauge adds a gauge that is read whenever the metrics are.
+func (s Set) RegisterGauge(name string, read func() int64) {
 	metrics.NewRegisteredFunctionalGauge(name, s.Registry, read)
 }
 
-// Config adds which configuration is in force and how old it is.
-func (s Set) Config(h *config.Holder) {
-	s.Gauge("config.version", func() int64 { return int64(h.Get().State.Version) })
-	s.Gauge("config.age_ms", func() int64 { return h.Age().Milliseconds() })
+// RegisterConfig adds which configuration is in force and how old it is.
+func (s Set) RegisterConfig(h *config.Holder) {
+	s.RegisterGauge("config.version", func() int64 { return int64(h.Get().State.Version) })
+	s.RegisterGauge("config.age_ms", func() int64 { return h.Age().Milliseconds() })
 }
 
 // processorMicroseconds is the processor time that the process has used.
--- a/internal/gauges/stalls.go
+++ b/internal/gauges/stalls.go
@@ -9,9 +9,9 @@
 	"github.com/camphorrack/camphorrack/internal/event"
 )
 
-// Stalls returns an observer of the ticks of a control goroutine, which come every pace at
+// StallObserver returns an observer of the ticks of a control goroutine, which come every pace at
 // the most. It logs when the process stood still, for long or for short times in a row.
-func Stalls(log logr.Logger, pace time.Duration) func() {
+func StallObserver(log logr.Logger, pace time.Duration) func() {
 	stall, starvation := clock.NewStall(clock.StallLimit), clock.NewStarvation(pace)
 	return func() {
 		lost := starvation.Look()
--- a/internal/gauges/turns.go
+++ b/internal/gauges/turns.go
@@ -23,10 +23,10 @@
 	turnDecay = 0.015
 )
 
-// Turns returns an observer of the control goroutine for control.Options. A request
+// TurnObserver returns an observer of the control goroutine for control.Options. A request
 // that got no answer in time is explained by a slow turn where one is logged, and by
 // the want of a processor, or by the network, where none is.
-func (s Set) Turns(log logr.Logger) func(control.Turn) {
+func (s Set) TurnObserver(log logr.Logger) func(control.Turn) {
 	sample := metrics.NewRegisteredHistogram("control.turn_us", s.Registry, metrics.NewExpDecaySample(turnSamples, turnDecay))
 	return func(t control.Turn) {
 		if t.Took < countedTurn {
--- a/internal/httpconn/accept_test.go
+++ b/internal/httpconn/accept_test.go
@@ -32,7 +32,7 @@
 	var lines []string
 	log := funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})
 	source := &exhausted{Listener: listener}
-	logged := LogAccepts(source, log)
+	logged := NewLoggingListener(source, log)
 	for range 2 {
 		source.failures = 3
 		for range 3 {
--- a/internal/httpconn/unused.go
+++ b/internal/httpconn/unused.go
@@ -7,19 +7,19 @@
 	"sync"
 )
 
-// Unused holds the connections on which no request has come yet. Clients open
+// UnusedConns holds the connections on which no request has come yet. Clients open
 // some in reserve. The graceful shutdown of net/http waits five seconds for each of
 // them, and a drain that had finished everything would end as a failed one.
-type Unused struct {
+type UnusedConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// NewUnused returns an empty set.
-func NewUnused() *Unused { return &Unused{conns: map[net.Conn]struct{}{}} }
+// NewUnusedConns returns an empty set.
+func NewUnusedConns() *UnusedConns { return &UnusedConns{conns: map[net.Conn]struct{}{}} }
 
-// Note is the server's ConnState.
-func (u *Unused) Note(c net.Conn, state http.ConnState) {
+// Track is the server's ConnState.
+func (u *UnusedConns) Track(c net.Conn, state http.ConnState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if state == http.StateNew {
@@ -31,7 +31,7 @@
 
 // Close closes them; call it once the listener is closed. A request that is just arriving on one gets no reply, as on an
 // idle connection that is closed; its sender sends it again.
-func (u *Unused) Close() {
+func (u *UnusedConns) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for c := range u.conns {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -116,7 +116,7 @@
 	r.loop = control.New(control.Options[*state]{
 		State: r.newState(), Clock: r.clock, MaxCommands: maxCommands, MaxBatch: maxBatch,
 		Tick: r.tick, Pace: pace, Flush: func(s *state) { s.table.Flush(r.clock.Now()) },
-		Turned: r.metrics.Turns(log),
+		Turned: r.metrics.TurnObserver(log),
 	})
 	if err := r.listen(); err != nil {
 		r.servers.Close()
