--- a/command/status.go
+++ b/command/status.go
@@ -53,7 +53,7 @@
 	defer cancel()
 	answer, err := c.Await(ctx, id)
 	var undecided *client.UndecidedError
-	if errors.As(err, &undecided) && undecided.Last == nil {
+	if errors.As(err, &undecided) && undecided.LastErr == nil {
 		return &job.Answer{ID: id, State: job.Pending}, nil
 	}
 	return answer, err
--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -36,7 +36,7 @@
 	body   []byte
 }
 
-// send sends the call to one entry. The error is a *LostError.
+// send sends the call to one entry. The error is a *TransportError.
 func (c *Client) send(ctx context.Context, entry string, k call) (*reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -48,7 +48,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, k.method, target.String(), bytes.NewReader(k.body))
 	if err != nil {
-		return nil, &LostError{Entry: entry, Cause: err}
+		return nil, &TransportError{Entry: entry, Cause: err}
 	}
 	if k.body != nil {
 		request.Header.Set("Content-Type", "application/json")
@@ -62,11 +62,11 @@
 }
 
 // lost returns the error of a call that brought no whole reply.
-func lost(ctx context.Context, entry string, err error) *LostError {
+func lost(ctx context.Context, entry string, err error) *TransportError {
 	if errors.Is(context.Cause(ctx), silence.ErrSilent) {
 		err = silence.ErrSilent
 	}
-	return &LostError{Entry: entry, Cause: err}
+	return &TransportError{Entry: entry, Cause: err}
 }
 
 func readReply(ctx context.Context, entry string, response *http.Response) (*reply, error) {
@@ -75,7 +75,7 @@
 		return nil, lost(ctx, entry, err)
 	}
 	if len(body) > maxReplyBytes {
-		return nil, &LostError{Entry: entry, Cause: errReplyTooLarge}
+		return nil, &TransportError{Entry: entry, Cause: errReplyTooLarge}
 	}
 	return &reply{status: response.StatusCode, body: body}, nil
 }
@@ -101,9 +101,9 @@
 }
 
 // each sends the call to one entry after the other until one serves it, round after
-// round for as long as Options.Patience. The error is the last *LostError.
+// round for as long as Options.RetryTimeout. The error is the last *TransportError.
 func (c *Client) each(ctx context.Context, k call) (*reply, error) {
-	until := time.Now().Add(c.options.Patience)
+	until := time.Now().Add(c.options.RetryTimeout)
 	pauses := newPauses()
 	for {
 		r, err := c.round(ctx, k)
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -25,19 +25,19 @@
 	// DefaultCallTimeout bounds a call that waits for nothing. A connection
 	// that went silent for good is given up after it and another entry is used.
 	DefaultCallTimeout = 2 * time.Second
-	// DefaultWaitSlice is how long one call waits for an answer. A caller that
+	// DefaultLongPollTimeout is how long one call waits for an answer. A caller that
 	// waited for the whole deadline on one call would notice a silent
 	// connection only then. Most tasks end within a second and so within the
 	// first call; a longer job costs one look-up a second.
-	DefaultWaitSlice = time.Second
-	// DefaultHedgeAfter is how much longer than its wait an entry may be silent before the
+	DefaultLongPollTimeout = time.Second
+	// DefaultHedgeDelay is how much longer than its wait an entry may be silent before the
 	// next one is asked beside it. Both ways lead to the same owner, so a second call costs
 	// little; a caller that waited for CallTimeout would learn of a frozen entry too late
 	// for its deadline.
-	DefaultHedgeAfter = 500 * time.Millisecond
-	// DefaultPatience is how long calls that any entry can answer are tried again. It
+	DefaultHedgeDelay = 500 * time.Millisecond
+	// DefaultRetryTimeout is how long calls that any entry can answer are tried again. It
 	// outlasts a restart of an entry and a pause of some seconds.
-	DefaultPatience = 10 * time.Second
+	DefaultRetryTimeout = 10 * time.Second
 
 	dialTimeout  = time.Second
 	idlePerEntry = 512 // so that a burst of calls reuses connections
@@ -49,11 +49,11 @@
 type Options struct {
 	// Entries are the addresses of entries or of a balancer, host:port, in the
 	// order in which they are tried.
-	Entries     []string
-	CallTimeout time.Duration
-	WaitSlice   time.Duration
-	HedgeAfter  time.Duration
-	Patience    time.Duration
+	Entries         []string
+	CallTimeout     time.Duration
+	LongPollTimeout time.Duration
+	HedgeDelay      time.Duration
+	RetryTimeout    time.Duration
 }
 
 // Client calls entries. It is safe for concurrent use.
@@ -75,9 +75,9 @@
 		}
 	}
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
-	setDefault(&o.WaitSlice, DefaultWaitSlice)
-	setDefault(&o.HedgeAfter, DefaultHedgeAfter)
-	setDefault(&o.Patience, DefaultPatience)
+	setDefault(&o.LongPollTimeout, DefaultLongPollTimeout)
+	setDefault(&o.HedgeDelay, DefaultHedgeDelay)
+	setDefault(&o.RetryTimeout, DefaultRetryTimeout)
 	transport := &http.Transport{
 		DialContext: silence.Dialer(dialTimeout), MaxIdleConnsPerHost: idlePerEntry, IdleConnTimeout: idleTimeout,
 	}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -109,7 +109,7 @@
 		defer close(frozen)
 		first := fakeEntry(func(http.ResponseWriter, *http.Request) { <-frozen })
 		second := fakeEntry(answers(http.StatusOK, complete))
-		c, err := New(Options{Entries: []string{first.addr, second.addr}, CallTimeout: time.Hour, WaitSlice: time.Millisecond, HedgeAfter: 10 * time.Millisecond})
+		c, err := New(Options{Entries: []string{first.addr, second.addr}, CallTimeout: time.Hour, LongPollTimeout: time.Millisecond, HedgeDelay: 10 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
 		Expect(c.Submit(ctx, id, request)).To(Equal(&complete))
@@ -165,7 +165,7 @@
 		foreign := complete
 		foreign.ID = "c1-0-0-0-1-y"
 		_, err := submit(ctx, fakeEntry(answers(http.StatusOK, foreign)))
-		var wrong *ForeignAnswerError
+		var wrong *MismatchedAnswerError
 		Expect(errors.As(err, &wrong)).To(BeTrue())
 	})
 })
--- a/internal/client/errors.go
+++ b/internal/client/errors.go
@@ -8,46 +8,46 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// LostError is a call whose answer did not arrive whole. The entry may have acted
+// TransportError is a call whose answer did not arrive whole. The entry may have acted
 // on it.
-type LostError struct {
+type TransportError struct {
 	Entry string
 	Cause error
 }
 
 // Error implements error.
-func (e *LostError) Error() string { return "entry " + e.Entry + ": " + e.Cause.Error() }
+func (e *TransportError) Error() string { return "entry " + e.Entry + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *TransportError) Unwrap() error { return e.Cause }
 
 // UndecidedError is a submission whose final answer could not be learned in time.
 // It may have run or may still run; the same id may be asked for or sent again.
 type UndecidedError struct {
-	ID   string
-	Last error // what stood in the way last; nil where the job was merely pending
+	ID      string
+	LastErr error // what stood in the way last; nil where the job was merely pending
 }
 
 // Error implements error.
 func (e *UndecidedError) Error() string {
-	if e.Last == nil {
+	if e.LastErr == nil {
 		return "undecided: still pending: " + e.ID
 	}
-	return "undecided: " + e.ID + ": " + e.Last.Error()
+	return "undecided: " + e.ID + ": " + e.LastErr.Error()
 }
 
 // Unwrap returns what stood in the way last.
-func (e *UndecidedError) Unwrap() error { return e.Last }
+func (e *UndecidedError) Unwrap() error { return e.LastErr }
 
-// ForeignAnswerError is an answer to another id than the one asked for. A caller
+// MismatchedAnswerError is an answer to another id than the one asked for. A caller
 // must never use it as its own.
-type ForeignAnswerError struct {
-	Asked, Got string
+type MismatchedAnswerError struct {
+	RequestedID, ReceivedID string
 }
 
 // Error implements error.
-func (e *ForeignAnswerError) Error() string {
-	return fmt.Sprintf("asked for %s and got the answer to %s", e.Asked, e.Got)
+func (e *MismatchedAnswerError) Error() string {
+	return fmt.Sprintf("asked for %s and got the answer to %s", e.RequestedID, e.ReceivedID)
 }
 
 // FaultOf returns the fault in err, or one that says what err means to a caller.
--- a/internal/client/hedge.go
+++ b/internal/client/hedge.go
@@ -14,9 +14,9 @@
 }
 
 // hedged sends the call to the entry in use. Where that one stays silent for
-// Options.HedgeAfter beyond its wait, the next one is asked beside it, and the first
+// Options.HedgeDelay beyond its wait, the next one is asked beside it, and the first
 // reply counts. Only calls that may be made twice are hedged. It returns the index of the
-// entry that replied; the error is a *LostError, then with the index of the first.
+// entry that replied; the error is a *TransportError, then with the index of the first.
 func (c *Client) hedged(ctx context.Context, k call) (uint32, *reply, error) {
 	ctx, cancel := context.WithCancel(ctx) // ends the call that came second
 	defer cancel()
@@ -28,7 +28,7 @@
 	}
 	go ask(first)
 	silent := make(chan struct{}, 1)
-	watch := silence.NewWatch(k.wait+c.options.HedgeAfter, func(error) { silent <- struct{}{} })
+	watch := silence.NewWatch(k.wait+c.options.HedgeDelay, func(error) { silent <- struct{}{} })
 	defer watch.Stop()
 	for open := 1; ; {
 		select {
--- a/internal/client/submit.go
+++ b/internal/client/submit.go
@@ -44,7 +44,7 @@
 // complete, failed or refused. On a lost connection it sends the same id again
 // through another entry. The error is a *fault.Fault where the entries turned the
 // request itself down, an *UndecidedError where ctx ended first, or a
-// *ForeignAnswerError.
+// *MismatchedAnswerError.
 func (c *Client) Submit(ctx context.Context, id string, s *job.Submission) (*job.Answer, error) {
 	encoded, err := json.Marshal(body{ID: id, Submission: s})
 	if err != nil {
@@ -68,7 +68,7 @@
 func (c *Client) Lookup(ctx context.Context, id string) (*job.Answer, error) {
 	r, err := c.each(ctx, call{method: http.MethodGet, path: jobPath(id), waits: true})
 	if err != nil {
-		return nil, &UndecidedError{ID: id, Last: err}
+		return nil, &UndecidedError{ID: id, LastErr: err}
 	}
 	return r.answer(id)
 }
@@ -98,7 +98,7 @@
 		}
 		sleep(ctx, pause)
 	}
-	return nil, &UndecidedError{ID: p.id, Last: p.last}
+	return nil, &UndecidedError{ID: p.id, LastErr: p.last}
 }
 
 // try makes one call. It returns a final answer, or an error that ends the
@@ -127,7 +127,7 @@
 }
 
 func (p *poller) call() call {
-	wait := p.client.options.WaitSlice
+	wait := p.client.options.LongPollTimeout
 	if p.body == nil || p.accepted {
 		return call{method: http.MethodGet, path: jobPath(p.id), wait: wait, waits: true}
 	}
@@ -155,7 +155,7 @@
 		return nil, r.fault()
 	}
 	if answer.ID != "" && answer.ID != id {
-		return nil, &ForeignAnswerError{Asked: id, Got: answer.ID}
+		return nil, &MismatchedAnswerError{RequestedID: id, ReceivedID: answer.ID}
 	}
 	answer.ID = id
 	return &answer, nil
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -37,7 +37,7 @@
 	CallerAddr       string // callers' requests
 	ReadyAddr        string // the balancer's question whether new connections may come
 	TargetsAddr      string // targets that announce themselves are turned away; empty: not served
-	InnerAddr        string // runners' sessions
+	SessionAddr      string // runners' sessions
 	MetricsAddr      string
 	Grace            time.Duration // between SIGTERM and SIGKILL
 	LeaseLimit       time.Duration
@@ -46,12 +46,12 @@
 	ProcessorShare   float64 // of a core
 	LinkMbps         float64 // of the host's network link; 0: not known
 
-	Store         platformlog.Keyed
-	Operator      leased.Operator
-	ConfigVersion func(body []byte) (uint64, error)
-	ParseConfig   func(body []byte) (*routing.Table, error)
-	Callers       func(*Dispatcher) http.Handler
-	Ready         func(ready func() bool) http.Handler
+	Store               platformlog.Keyed
+	Operator            leased.Operator
+	ConfigVersion       func(body []byte) (uint64, error)
+	ParseConfig         func(body []byte) (*routing.Table, error)
+	NewCallerHandler    func(*Dispatcher) http.Handler
+	NewReadinessHandler func(ready func() bool) http.Handler
 }
 
 const (
@@ -193,11 +193,11 @@
 	page := gin.New()
 	page.GET(leased.MetricsPath, leased.Metrics(d.log, d.metrics.Registry, d.refreshMetrics))
 	callers, err := d.servers.Listen(d.log, connLimits(routing.Limits{}), withConn,
-		leased.Service{What: "runners", Addr: d.o.InnerAddr, Handler: inner},
-		leased.Service{What: "the balancer", Addr: d.o.ReadyAddr, Handler: d.o.Ready(d.ready)},
+		leased.Service{What: "runners", Addr: d.o.SessionAddr, Handler: inner},
+		leased.Service{What: "the balancer", Addr: d.o.ReadyAddr, Handler: d.o.NewReadinessHandler(d.ready)},
 		leased.Service{What: "metrics", Addr: d.o.MetricsAddr, Handler: page},
 		leased.Service{What: "targets", Addr: d.o.TargetsAddr, Handler: http.HandlerFunc(turnAway)},
-		leased.Service{What: "callers", Addr: d.o.CallerAddr, Handler: d.o.Callers(d)},
+		leased.Service{What: "callers", Addr: d.o.CallerAddr, Handler: d.o.NewCallerHandler(d)},
 	)
 	d.callers = callers
 	return err
@@ -213,10 +213,10 @@
 	go d.loop.Run()
 	d.servers.Serve()
 	go platformlog.Watch(ctx, d.log, d.o.Store, d.o.Operator.Topic, operatorReader{d})
-	record := leased.Record{Addr: d.o.InnerAddr, DataCentre: d.o.DataCentre}
+	record := leased.Record{Addr: d.o.SessionAddr, DataCentre: d.o.DataCentre}
 	go platformlog.Keep(ctx, d.log, d.o.Store, leased.EntriesTopic, d.o.Host, record.Encode())
 	event.Log(d.log, event.ProcessStarted, "host", d.o.Host, "data_centre", d.o.DataCentre, "callers", d.o.CallerAddr,
-		"inner", d.o.InnerAddr, "incarnation", d.incarnation.String(), "memory_mb", d.o.MemoryMB)
+		"inner", d.o.SessionAddr, "incarnation", d.incarnation.String(), "memory_mb", d.o.MemoryMB)
 }
 
 // ready reports whether new connections may come.
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -65,7 +65,7 @@
 	// address closes this one, and says no hello that would replace the other.
 	err = r.loop.Push(func(_ time.Time, st *state) {
 		conn.Send(&wire.ToAgent{Welcome: &wire.Welcome{
-			Version: wire.Version, Incarnation: r.incarnation, Addr: r.o.InnerAddr, DataCentre: r.o.DataCentre, Entries: st.known(),
+			Version: wire.Version, Incarnation: r.incarnation, Addr: r.o.SessionAddr, DataCentre: r.o.DataCentre, Entries: st.known(),
 		}})
 	})
 	if err != nil {
@@ -118,7 +118,7 @@
 	event.Log(r.log, event.SessionOpened, "conn", uint64(r.id), "host", h.Worker, "peer", r.conn.RemoteAddr())
 	return r.loop.Push(func(now time.Time, s *state) {
 		r.conns[r.id] = r.conn
-		s.learn(r.o.InnerAddr, h.Entries)
+		s.learn(r.o.SessionAddr, h.Entries)
 		s.core.Connect(now, r.id, h)
 		s.core.QueueLoadInterval(r.id, s.loadEvery)
 		s.evacuations.PeerUp(evacuation.PeerID(r.id))
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -62,7 +62,7 @@
 // lapsed reports whether a complete answer must no longer be given, by this entry's
 // own clock. The process may have been frozen between the job's end and the writing
 // of the answer; meanwhile another entry that could not reach the owner may have told
-// a caller that the outcome is unknown, which it does forward.ClockAllowance later.
+// a caller that the outcome is unknown, which it does forward.MaxClockSkew later.
 func (a *api) lapsed(id job.ID) bool { return !a.clock.Now().Before(id.AnswerableUntil()) }
 
 // withheld asks the owner again after its complete answer came too late to be given.
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -31,7 +31,7 @@
 	}
 	if !a.owns(id) {
 		r := a.request(g, id, nil, 0)
-		r.Waits = false
+		r.AcceptsWait = false
 		a.pass(g, id, r)
 		return
 	}
--- a/internal/entry/passing.go
+++ b/internal/entry/passing.go
@@ -15,7 +15,7 @@
 func (a *api) request(g *gin.Context, id job.ID, body []byte, wait time.Duration) forward.Request {
 	return forward.Request{
 		Owner: id.Owner, ID: id.String(), Deadline: id.Deadline,
-		Method: g.Request.Method, Path: g.Request.URL.Path, Body: body, Wait: wait, Waits: true,
+		Method: g.Request.Method, Path: g.Request.URL.Path, Body: body, Wait: wait, AcceptsWait: true,
 	}
 }
 
@@ -42,7 +42,7 @@
 // completeLapsed reports whether the owner's reply is a complete answer that must no
 // longer be given.
 func (a *api) completeLapsed(id job.ID, r forward.Request, reply *forward.Reply) bool {
-	return r.Waits && reply.Status == http.StatusOK && a.lapsed(id)
+	return r.AcceptsWait && reply.Status == http.StatusOK && a.lapsed(id)
 }
 
 // withheldRequest asks the owner again after its complete answer came too late to be
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -126,7 +126,7 @@
 
 func submitThrough(ctx context.Context, addrs []string, id string, s *job.Submission) *job.Answer {
 	defer GinkgoRecover()
-	c, err := client.New(client.Options{Entries: addrs, CallTimeout: 2 * time.Second, WaitSlice: 500 * time.Millisecond})
+	c, err := client.New(client.Options{Entries: addrs, CallTimeout: 2 * time.Second, LongPollTimeout: 500 * time.Millisecond})
 	Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
 	answer, err := c.Submit(ctx, id, s)
--- a/internal/forward/counters.go
+++ b/internal/forward/counters.go
@@ -5,7 +5,7 @@
 // Counters count the hop's outcomes since the start of the process.
 type Counters struct {
 	Forwarded      metrics.Counter // requests passed on
-	Lost           metrics.Counter // calls without a whole reply in time
+	FailedCalls    metrics.Counter // calls without a whole reply in time
 	Undecided      metrics.Counter
 	OwnerGone      metrics.Counter
 	OutcomeUnknown metrics.Counter
@@ -14,7 +14,7 @@
 // NewCounters returns counters at zero.
 func NewCounters() *Counters {
 	return &Counters{
-		Forwarded: metrics.NewCounter(), Lost: metrics.NewCounter(), Undecided: metrics.NewCounter(),
+		Forwarded: metrics.NewCounter(), FailedCalls: metrics.NewCounter(), Undecided: metrics.NewCounter(),
 		OwnerGone: metrics.NewCounter(), OutcomeUnknown: metrics.NewCounter(),
 	}
 }
@@ -22,7 +22,7 @@
 // Register adds the counters to a registry.
 func (c *Counters) Register(r metrics.Registry) error {
 	for name, counter := range map[string]metrics.Counter{
-		"forward.requests": c.Forwarded, "forward.lost": c.Lost, "forward.undecided": c.Undecided,
+		"forward.requests": c.Forwarded, "forward.lost": c.FailedCalls, "forward.undecided": c.Undecided,
 		"forward.owner_gone": c.OwnerGone, "forward.outcome_unknown": c.OutcomeUnknown,
 	} {
 		if err := r.Register(name, counter); err != nil {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -39,10 +39,10 @@
 
 // Timing of the hop.
 const (
-	// Slice is the longest wait asked of the owner at a time. A longer one would
+	// LongPollTimeout is the longest wait asked of the owner at a time. A longer one would
 	// hide a connection that went silent until the wait is over.
-	Slice = 500 * time.Millisecond
-	// lateSlice takes the place of Slice past the deadline. It is not zero, so that an
+	LongPollTimeout = 500 * time.Millisecond
+	// lateSlice takes the place of LongPollTimeout past the deadline. It is not zero, so that an
 	// owner whose clock is behind is not asked without a pause.
 	lateSlice = 100 * time.Millisecond
 	// replyGrace is the silence allowed beyond the slice. With the slice it stays
@@ -58,18 +58,18 @@
 	retryAfter = 500 * time.Millisecond
 )
 
-// ClockAllowance is how far two entries' clocks may differ. An entry that can't reach
+// MaxClockSkew is how far two entries' clocks may differ. An entry that can't reach
 // the owner declares the outcome unknown, for good, only this much after the owner has
 // stopped answering "complete"; with clocks further apart, a caller could get both.
-const ClockAllowance = 500 * time.Millisecond
+const MaxClockSkew = 500 * time.Millisecond
 
 // Options configures a Forwarder. A zero field takes the default.
 type Options struct {
 	Log   logr.Logger
 	Clock clock.Clock
-	// Slice, Grace and RetryPause are shorter in tests only.
-	Slice, Grace, RetryPause time.Duration
-	Counters                 *Counters
+	// LongPollTimeout, ReplyGrace and RetryDelay are shorter in tests only.
+	LongPollTimeout, ReplyGrace, RetryDelay time.Duration
+	Counters                                *Counters
 }
 
 // Forwarder calls other entries. It is safe for concurrent use.
@@ -80,14 +80,14 @@
 
 // New returns a forwarder.
 func New(o Options) *Forwarder {
-	if o.Slice == 0 {
-		o.Slice = Slice
+	if o.LongPollTimeout == 0 {
+		o.LongPollTimeout = LongPollTimeout
 	}
-	if o.Grace == 0 {
-		o.Grace = replyGrace
+	if o.ReplyGrace == 0 {
+		o.ReplyGrace = replyGrace
 	}
-	if o.RetryPause == 0 {
-		o.RetryPause = 50 * time.Millisecond
+	if o.RetryDelay == 0 {
+		o.RetryDelay = 50 * time.Millisecond
 	}
 	if o.Counters == nil {
 		o.Counters = NewCounters()
@@ -97,20 +97,20 @@
 
 // Request is one request about a submission, or several of one owner.
 type Request struct {
-	Owner    job.Owner
-	ID       string    // of the submission, for the log; empty for several
-	Deadline time.Time // the id's; the latest where there are several
-	Method   string
-	Path     string
-	Body     []byte
-	Wait     time.Duration // how long the caller wants to wait for the answer
-	Waits    bool          // whether the path takes wait_ms
-	Withheld bool          // the owner's complete answer came too late to be passed on
+	Owner       job.Owner
+	ID          string    // of the submission, for the log; empty for several
+	Deadline    time.Time // the id's; the latest where there are several
+	Method      string
+	Path        string
+	Body        []byte
+	Wait        time.Duration // how long the caller wants to wait for the answer
+	AcceptsWait bool          // whether the path takes wait_ms
+	Withheld    bool          // the owner's complete answer came too late to be passed on
 }
 
 // unknownFrom returns the time from which an owner that can't be reached gives no
 // complete answer any more, by any clock.
-func (r Request) unknownFrom() time.Time { return r.Deadline.Add(job.AnswerGrace + ClockAllowance) }
+func (r Request) unknownFrom() time.Time { return r.Deadline.Add(job.AnswerGrace + MaxClockSkew) }
 
 // Reply is the owner's reply, to be passed on as it is.
 type Reply struct {
@@ -142,11 +142,11 @@
 			return nil, f.ownerGone(r)
 		default:
 			failures++
-			f.o.Counters.Lost.Inc(1)
+			f.o.Counters.FailedCalls.Inc(1)
 			if failures >= tries || ctx.Err() != nil {
 				return nil, f.unreachable(r, err)
 			}
-			pause(ctx, f.o.RetryPause)
+			pause(ctx, f.o.RetryDelay)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 // once makes one call, for one slice of the wait.
 func (f *Forwarder) once(ctx context.Context, r Request, slice time.Duration) (*Reply, error) {
 	p := f.peers.get(r.Owner.Addr)
-	reply, err := p.call(ctx, r, slice, slice+f.o.Grace)
+	reply, err := p.call(ctx, r, slice, slice+f.o.ReplyGrace)
 	if err != nil && !errors.Is(err, errAnotherIncarnation) {
 		// Whatever took this connection's bytes has likely forgotten the idle ones too;
 		// without them the next call makes a new one.
@@ -176,8 +176,8 @@
 // final answer, and to wait for one would only put off finding that it is silent.
 func (f *Forwarder) slice(r Request, until time.Time) time.Duration {
 	now := f.o.Clock.Now()
-	most := f.o.Slice
-	if now.After(r.Deadline.Add(ClockAllowance)) {
+	most := f.o.LongPollTimeout
+	if now.After(r.Deadline.Add(MaxClockSkew)) {
 		most = min(most, lateSlice)
 	}
 	return min(most, max(until.Sub(now), 0))
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -66,11 +66,11 @@
 		now = clock.NewFake(time.UnixMilli(1_800_000_000_000))
 		deadline = now.Now().Add(time.Minute)
 		forwarder = forward.New(forward.Options{Log: logr.Discard(), Clock: now,
-			Slice: 20 * time.Millisecond, Grace: 200 * time.Millisecond, RetryPause: time.Millisecond})
+			LongPollTimeout: 20 * time.Millisecond, ReplyGrace: 200 * time.Millisecond, RetryDelay: time.Millisecond})
 	})
 	post := func(s *scripted, wait time.Duration) (*forward.Reply, error) {
 		return forwarder.Do(context.Background(), forward.Request{Owner: s.owner, ID: "id", Deadline: deadline,
-			Method: http.MethodPost, Path: "/v1/jobs", Body: []byte("body"), Wait: wait, Waits: true})
+			Method: http.MethodPost, Path: "/v1/jobs", Body: []byte("body"), Wait: wait, AcceptsWait: true})
 	}
 	verdict := func(err error) *fault.Fault {
 		GinkgoHelper()
@@ -163,8 +163,8 @@
 			if closed {
 				s.Listener.Close()
 			}
-			const unknownFrom = time.Minute + job.AnswerGrace + forward.ClockAllowance
-			for _, at := range []time.Duration{0, time.Minute, time.Minute + forward.ClockAllowance, unknownFrom} {
+			const unknownFrom = time.Minute + job.AnswerGrace + forward.MaxClockSkew
+			for _, at := range []time.Duration{0, time.Minute, time.Minute + forward.MaxClockSkew, unknownFrom} {
 				now.Advance(deadline.Add(-time.Minute + at).Sub(now.Now()))
 				_, err := post(s, time.Minute)
 				undecided := verdict(err)
@@ -211,7 +211,7 @@
 		for range 2 {
 			_, err := post(s, time.Minute)
 			Expect(err).NotTo(HaveOccurred())
-			now.Advance(time.Minute + forward.ClockAllowance + time.Millisecond)
+			now.Advance(time.Minute + forward.MaxClockSkew + time.Millisecond)
 		}
 		Expect(queries).To(Equal([]string{"wait_ms=500", "wait_ms=100"}))
 	})
--- a/internal/forward/peer.go
+++ b/internal/forward/peer.go
@@ -129,7 +129,7 @@
 
 func (p *peer) request(ctx context.Context, r Request, wait time.Duration, w *silence.Watch) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: p.addr.String(), Path: r.Path}
-	if r.Waits {
+	if r.AcceptsWait {
 		target.RawQuery = waitQuery(wait)
 	}
 	var body io.Reader
