--- a/internal/agent/announcements.go
+++ b/internal/agent/announcements.go
@@ -41,7 +41,7 @@
 }
 
 func (s *state) tellTarget(now time.Time) {
-	t := s.announced.Target()
+	t := s.announced.WireTarget()
 	t.Down = s.silent
 	s.table.SetTarget(now, t)
 }
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -83,7 +83,7 @@
 	case decoder.More():
 		return nil, fault.Input(fault.BadBody, "body", "something follows the announcement")
 	}
-	return a, a.Check()
+	return a, a.Validate()
 }
 
 func (a *Agent) takeDrain(g *gin.Context) {
--- a/internal/agent/caller_test.go
+++ b/internal/agent/caller_test.go
@@ -259,7 +259,7 @@
 		g := NewWithT(t)
 		a, err := decodeAnnouncement(strings.NewReader(string(body)))
 		if err == nil {
-			g.Expect(a.Check()).To(Succeed())
+			g.Expect(a.Validate()).To(Succeed())
 			g.Expect(a.Slots).To(BeNumerically(">", 0))
 			return
 		}
--- a/internal/agent/state.go
+++ b/internal/agent/state.go
@@ -106,7 +106,7 @@
 
 // tick does what the passing of time brings about.
 func (s *state) tick(now time.Time) {
-	if !s.silent && now.Sub(s.announceAt) > targetapi.SilentAfter {
+	if !s.silent && now.Sub(s.announceAt) > targetapi.SilenceTimeout {
 		s.silent = true
 		event.Log(s.log, event.TargetSilent, "target", s.announced.Name, "last_heard", s.announceAt)
 		s.tellTarget(now)
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -25,14 +25,14 @@
 // PeerID names a session; it is never reused.
 type PeerID uint64
 
-// Holder has the newest configuration that the process knows. It is not safe for
+// Replica has the newest configuration that the process knows. It is not safe for
 // concurrent use.
-type Holder struct {
+type Replica struct {
 	// Send queues a note for a peer.
 	Send func(PeerID, wire.ConfigNote)
-	// Adopt takes a newer body into force. An error means that it can't be read and
+	// Apply takes a newer body into force. An error means that it can't be read and
 	// is not kept.
-	Adopt func(now time.Time, version uint64, body []byte) error
+	Apply func(now time.Time, version uint64, body []byte) error
 
 	version uint64
 	body    []byte
@@ -42,13 +42,13 @@
 }
 
 // Version returns the version in force; 0 is none.
-func (h *Holder) Version() uint64 { return h.version }
+func (h *Replica) Version() uint64 { return h.version }
 
 // Body returns the configuration in force, as it came.
-func (h *Holder) Body() []byte { return h.body }
+func (h *Replica) Body() []byte { return h.body }
 
-// Up tells that a session is open. The peer is told the version.
-func (h *Holder) Up(id PeerID) {
+// PeerUp tells that a session is open. The peer is told the version.
+func (h *Replica) PeerUp(id PeerID) {
 	if h.peers == nil {
 		h.peers = map[PeerID]uint64{}
 	}
@@ -58,11 +58,11 @@
 	}
 }
 
-// Down tells that a session has ended.
-func (h *Holder) Down(id PeerID) { delete(h.peers, id) }
+// PeerDown tells that a session has ended.
+func (h *Replica) PeerDown(id PeerID) { delete(h.peers, id) }
 
-// Heard takes a peer's note.
-func (h *Holder) Heard(now time.Time, id PeerID, note *wire.ConfigNote) error {
+// HandleNote takes a peer's note.
+func (h *Replica) HandleNote(now time.Time, id PeerID, note *wire.ConfigNote) error {
 	if note == nil {
 		return nil
 	}
@@ -71,7 +71,7 @@
 	}
 	h.peers[id] = max(h.peers[id], note.Version)
 	if len(note.Body) > 0 {
-		if err := h.Offer(now, note.Version, note.Body); err != nil {
+		if err := h.Update(now, note.Version, note.Body); err != nil {
 			return err
 		}
 	}
@@ -82,13 +82,13 @@
 	return nil
 }
 
-// Offer takes a body from the store or from a peer. One that is not newer changes
+// Update takes a body from the store or from a peer. One that is not newer changes
 // nothing.
-func (h *Holder) Offer(now time.Time, version uint64, body []byte) error {
+func (h *Replica) Update(now time.Time, version uint64, body []byte) error {
 	if version <= h.version {
 		return nil
 	}
-	if err := h.Adopt(now, version, body); err != nil {
+	if err := h.Apply(now, version, body); err != nil {
 		return err
 	}
 	h.version, h.body, h.asked = version, body, 0
@@ -101,9 +101,9 @@
 }
 
 // Tick asks another peer where the one that was asked did not answer.
-func (h *Holder) Tick(now time.Time) { h.ask(now) }
+func (h *Replica) Tick(now time.Time) { h.ask(now) }
 
-func (h *Holder) ask(now time.Time) {
+func (h *Replica) ask(now time.Time) {
 	if _, up := h.peers[h.asked]; up && now.Sub(h.askedAt) < askAgain {
 		return
 	}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -47,7 +47,7 @@
 	LinkMbps         float64 // of the host's network link; 0: not known
 
 	Store               platformlog.Keyed
-	Operator            leased.Operator
+	Operator            leased.OperatorTopic
 	ConfigVersion       func(body []byte) (uint64, error)
 	ParseConfig         func(body []byte) (*routing.Table, error)
 	NewCallerHandler    func(*Dispatcher) http.Handler
@@ -80,7 +80,7 @@
 // state is what the control goroutine owns.
 type state struct {
 	core        *dispatch.Core
-	conf        *confsync.Holder
+	conf        *confsync.Replica
 	evacuations *evacuation.Replica
 	// entries are the addresses of dispatchers that runners have named, with their data
 	// centres where known; fresh are those that the runners were not told of yet.
@@ -134,9 +134,9 @@
 		Log: d.log, Outbox: d.sessions, DataCentre: d.o.DataCentre, LeaseLimit: d.o.LeaseLimit,
 		RemoteFactor: d.o.RemoteFactor, LinkMbps: d.o.LinkMbps, Now: time.Now,
 	})
-	s.conf = &confsync.Holder{Adopt: d.adopt}
+	s.conf = &confsync.Replica{Apply: d.adopt}
 	s.conf.Send = func(id confsync.PeerID, note confNote) { s.core.QueueConfigNote(dispatch.ConnID(id), note) }
-	s.evacuations = leased.NewEvacuations(d.log, func(id evacuation.PeerID, list []evacuation.Record) {
+	s.evacuations = leased.NewEvacuationReplica(d.log, func(id evacuation.PeerID, list []evacuation.Record) {
 		s.core.QueueEvacuations(dispatch.ConnID(id), list)
 	}, s.core.Evacuate)
 	return s
@@ -184,7 +184,7 @@
 }
 
 func (d *Dispatcher) refreshMetrics() error {
-	return d.loop.Do(leased.MetricsPatience, func(_ time.Time, s *state) { d.metrics.update(s.core) })
+	return d.loop.Do(leased.MetricsTimeout, func(_ time.Time, s *state) { d.metrics.update(s.core) })
 }
 
 func (d *Dispatcher) listen() error {
@@ -193,11 +193,11 @@
 	page := gin.New()
 	page.GET(leased.MetricsPath, leased.Metrics(d.log, d.metrics.Registry, d.refreshMetrics))
 	callers, err := d.servers.Listen(d.log, connLimits(routing.Limits{}), withConn,
-		leased.Service{What: "runners", Addr: d.o.SessionAddr, Handler: inner},
-		leased.Service{What: "the balancer", Addr: d.o.ReadyAddr, Handler: d.o.NewReadinessHandler(d.ready)},
-		leased.Service{What: "metrics", Addr: d.o.MetricsAddr, Handler: page},
-		leased.Service{What: "targets", Addr: d.o.TargetsAddr, Handler: http.HandlerFunc(turnAway)},
-		leased.Service{What: "callers", Addr: d.o.CallerAddr, Handler: d.o.NewCallerHandler(d)},
+		leased.Endpoint{Purpose: "runners", Addr: d.o.SessionAddr, Handler: inner},
+		leased.Endpoint{Purpose: "the balancer", Addr: d.o.ReadyAddr, Handler: d.o.NewReadinessHandler(d.ready)},
+		leased.Endpoint{Purpose: "metrics", Addr: d.o.MetricsAddr, Handler: page},
+		leased.Endpoint{Purpose: "targets", Addr: d.o.TargetsAddr, Handler: http.HandlerFunc(turnAway)},
+		leased.Endpoint{Purpose: "callers", Addr: d.o.CallerAddr, Handler: d.o.NewCallerHandler(d)},
 	)
 	d.callers = callers
 	return err
@@ -212,7 +212,7 @@
 	d.stop = cancel
 	go d.loop.Run()
 	d.servers.Serve()
-	go platformlog.Watch(ctx, d.log, d.o.Store, d.o.Operator.Topic, operatorReader{d})
+	go platformlog.Watch(ctx, d.log, d.o.Store, d.o.Operator.Name, operatorReader{d})
 	record := leased.Record{Addr: d.o.SessionAddr, DataCentre: d.o.DataCentre}
 	go platformlog.Keep(ctx, d.log, d.o.Store, leased.EntriesTopic, d.o.Host, record.Encode())
 	event.Log(d.log, event.ProcessStarted, "host", d.o.Host, "data_centre", d.o.DataCentre, "callers", d.o.CallerAddr,
--- a/internal/dispatcher/operator.go
+++ b/internal/dispatcher/operator.go
@@ -13,7 +13,7 @@
 // Snapshot implements platformlog.Reader. The evacuations go first: with a configuration
 // comes work.
 func (r operatorReader) Snapshot(entries []platformlog.Entry, end uint64) {
-	listed := r.o.Operator.Evacuations(r.log, entries...)
+	listed := r.o.Operator.EvacuationRecords(r.log, entries...)
 	r.do(func(now time.Time, s *state) { s.evacuations.MergeSnapshot(now, listed, end) })
 	for _, e := range entries {
 		r.configured(e)
@@ -22,7 +22,7 @@
 
 // Changed implements platformlog.Reader.
 func (r operatorReader) Changed(e platformlog.Entry) {
-	for _, statement := range r.o.Operator.Evacuations(r.log, e) {
+	for _, statement := range r.o.Operator.EvacuationRecords(r.log, e) {
 		r.do(func(now time.Time, s *state) { s.evacuations.MergeRecord(now, statement) })
 	}
 	r.configured(e)
@@ -39,7 +39,7 @@
 		return
 	}
 	// A body that can't be read was logged.
-	r.do(func(now time.Time, s *state) { _ = s.conf.Offer(now, version, e.Value) })
+	r.do(func(now time.Time, s *state) { _ = s.conf.Update(now, version, e.Value) })
 }
 
 // do hands a command to the control goroutine.
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -100,7 +100,7 @@
 }
 
 func (r *runnerSession) heardConfig(now time.Time, s *state, note *wire.ConfigNote) {
-	if err := s.conf.Heard(now, confsync.PeerID(r.id), note); err != nil {
+	if err := s.conf.HandleNote(now, confsync.PeerID(r.id), note); err != nil {
 		event.Log(r.log, event.ConfigBad, "conn", uint64(r.id), "error", err.Error())
 	}
 }
@@ -122,7 +122,7 @@
 		s.core.Connect(now, r.id, h)
 		s.core.QueueLoadInterval(r.id, s.loadEvery)
 		s.evacuations.PeerUp(evacuation.PeerID(r.id))
-		s.conf.Up(confsync.PeerID(r.id))
+		s.conf.PeerUp(confsync.PeerID(r.id))
 	})
 }
 
@@ -192,6 +192,6 @@
 		delete(r.conns, r.id)
 		s.core.Disconnect(now, r.id)
 		s.evacuations.PeerDown(evacuation.PeerID(r.id))
-		s.conf.Down(confsync.PeerID(r.id))
+		s.conf.PeerDown(confsync.PeerID(r.id))
 	})
 }
--- a/internal/leased/evacuations.go
+++ b/internal/leased/evacuations.go
@@ -10,24 +10,24 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// Operator is where operators keep what they ask of the fleet.
-type Operator struct {
-	Topic     string
+// OperatorTopic is where operators keep what they ask of the fleet.
+type OperatorTopic struct {
+	Name      string
 	ConfigKey string
-	// Evacuation returns the data centre that a key evacuates; false: it is another record.
-	Evacuation func(key string) (dataCentre string, ok bool)
+	// EvacuatedDataCentre returns the data centre that a key evacuates; false: it is another record.
+	EvacuatedDataCentre func(key string) (dataCentre string, ok bool)
 }
 
-// Evacuations returns what entries of the operator's topic say of evacuations.
-func (o Operator) Evacuations(log logr.Logger, entries ...platformlog.Entry) []evacuation.Record {
+// EvacuationRecords returns what entries of the operator's topic say of evacuations.
+func (o OperatorTopic) EvacuationRecords(log logr.Logger, entries ...platformlog.Entry) []evacuation.Record {
 	var statements []evacuation.Record
 	for _, e := range entries {
-		dataCentre, ok := o.Evacuation(e.Key)
+		dataCentre, ok := o.EvacuatedDataCentre(e.Key)
 		if !ok {
 			continue
 		}
 		if dataCentre == "" {
-			event.Log(log, event.EvacuationBad, "topic", o.Topic, "key", e.Key, "offset", e.Offset)
+			event.Log(log, event.EvacuationBad, "topic", o.Name, "key", e.Key, "offset", e.Offset)
 			continue
 		}
 		statements = append(statements, evacuation.Record{DataCentre: dataCentre, Offset: e.Offset, Lifted: len(e.Value) == 0})
@@ -35,9 +35,9 @@
 	return statements
 }
 
-// NewEvacuations returns what a daemon knows of evacuations: send passes it on, and evacuate puts
+// NewEvacuationReplica returns what a daemon knows of evacuations: send passes it on, and evacuate puts
 // what changes into force.
-func NewEvacuations(log logr.Logger, send func(evacuation.PeerID, []evacuation.Record), evacuate func(now time.Time, dataCentre string, lifted bool)) *evacuation.Replica {
+func NewEvacuationReplica(log logr.Logger, send func(evacuation.PeerID, []evacuation.Record), evacuate func(now time.Time, dataCentre string, lifted bool)) *evacuation.Replica {
 	return &evacuation.Replica{Send: send, OnChange: func(now time.Time, s evacuation.Record, peer evacuation.PeerID) {
 		logEvacuation(log, s, peer)
 		evacuate(now, s.DataCentre, s.Lifted)
--- a/internal/leased/leased.go
+++ b/internal/leased/leased.go
@@ -29,9 +29,9 @@
 // it is reached, under its host's name.
 const EntriesTopic = "camphorrack-entries"
 
-// MetricsPatience is how long a reader of the metrics waits for the control goroutine:
+// MetricsTimeout is how long a reader of the metrics waits for the control goroutine:
 // shorter than scrapers wait, and longer than any of its batches takes.
-const MetricsPatience = 500 * time.Millisecond
+const MetricsTimeout = 500 * time.Millisecond
 
 // MetricsPath is where the metrics are served.
 const MetricsPath = "/metrics"
@@ -144,8 +144,8 @@
 	return c
 }
 
-// Copy sets a gauge to a figure of the control state.
-func (c Counters) Copy(name string, value uint64) {
+// SetGauge sets a gauge to a figure of the control state.
+func (c Counters) SetGauge(name string, value uint64) {
 	metrics.GetOrRegisterGauge(name, c.Registry).Update(int64(value))
 }
 
--- a/internal/leased/server.go
+++ b/internal/leased/server.go
@@ -77,9 +77,9 @@
 	all []*Server
 }
 
-// Service is one address of a daemon. An empty Addr is not served.
-type Service struct {
-	What    string // for the log and errors
+// Endpoint is one address of a daemon. An empty Addr is not served.
+type Endpoint struct {
+	Purpose string // for the log and errors
 	Addr    string
 	Handler http.Handler
 }
@@ -87,13 +87,13 @@
 // Listen binds each service's address and returns the last server, nil where there is
 // none. After an error, Close frees what was bound.
 func (s *Servers) Listen(log logr.Logger, limits ConnLimits, connContext func(context.Context, net.Conn) context.Context,
-	services ...Service) (*Server, error) {
+	services ...Endpoint) (*Server, error) {
 	var last *Server
 	for _, service := range services {
 		if service.Addr == "" {
 			continue
 		}
-		server, err := Listen(log, service.What, service.Addr, service.Handler, limits, connContext)
+		server, err := Listen(log, service.Purpose, service.Addr, service.Handler, limits, connContext)
 		if err != nil {
 			return nil, err
 		}
@@ -124,11 +124,11 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for %s on %s", what, addr)
 	}
-	return ServeOn(log, what, listener, handler, limits, connContext), nil
+	return NewServer(log, what, listener, handler, limits, connContext), nil
 }
 
-// ServeOn is Listen on a listener that is open already.
-func ServeOn(log logr.Logger, what string, listener net.Listener, handler http.Handler, limits ConnLimits,
+// NewServer is Listen on a listener that is open already.
+func NewServer(log logr.Logger, what string, listener net.Listener, handler http.Handler, limits ConnLimits,
 	connContext func(context.Context, net.Conn) context.Context) *Server {
 	s := &Server{log: log, what: what, listener: listener, handler: handler, connContext: connContext, limits: limits}
 	s.begin()
--- a/internal/leased/server_test.go
+++ b/internal/leased/server_test.go
@@ -93,7 +93,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	s := leased.ServeOn(logr.Discard(), "a test", &failingListener{listener, 2}, ok, leased.ConnLimits{}, nil)
+	s := leased.NewServer(logr.Discard(), "a test", &failingListener{listener, 2}, ok, leased.ConnLimits{}, nil)
 	go s.Serve()
 	t.Cleanup(s.Close)
 	c, err := net.Dial("tcp", s.Addr())
--- a/internal/runner/counters.go
+++ b/internal/runner/counters.go
@@ -22,17 +22,17 @@
 // update copies the control state's figures.
 func (c *counters) update(t *runs.Table) {
 	n := t.Counts()
-	c.Copy("runs.open", uint64(t.Runs()))
-	c.Copy("runs.waiting", uint64(t.Waiting()))
-	c.Copy("runs.orders", n.Orders)
-	c.Copy("runs.starts", n.Starts)
-	c.Copy("runs.done", n.Done)
-	c.Copy("runs.failed", n.Failed)
-	c.Copy("runs.stopped", n.Stopped)
-	c.Copy("runs.not_run", n.NotRun)
-	c.Copy("runs.starts_unanswered", n.Unanswered)
-	c.Copy("runs.sessions_ended", n.SessionsEnded)
-	c.Copy("runs.evacuated", flag(t.Evacuated()))
+	c.SetGauge("runs.open", uint64(t.Runs()))
+	c.SetGauge("runs.waiting", uint64(t.Waiting()))
+	c.SetGauge("runs.orders", n.Orders)
+	c.SetGauge("runs.starts", n.Starts)
+	c.SetGauge("runs.done", n.Done)
+	c.SetGauge("runs.failed", n.Failed)
+	c.SetGauge("runs.stopped", n.Stopped)
+	c.SetGauge("runs.not_run", n.NotRun)
+	c.SetGauge("runs.starts_unanswered", n.Unanswered)
+	c.SetGauge("runs.sessions_ended", n.SessionsEnded)
+	c.SetGauge("runs.evacuated", flag(t.Evacuated()))
 }
 
 // flag is a gauge of something that is so, 1, or not, 0.
--- a/internal/runner/entrysession.go
+++ b/internal/runner/entrysession.go
@@ -62,7 +62,7 @@
 		}
 		st.evacuations.MergeFromPeer(now, evacuation.PeerID(s.id), f.Leased.Evacuations)
 		st.table.Receive(now, s.id, f.Leased)
-		if err := st.conf.Heard(now, confsync.PeerID(s.id), f.Leased.Config); err != nil {
+		if err := st.conf.HandleNote(now, confsync.PeerID(s.id), f.Leased.Config); err != nil {
 			event.Log(s.log, event.ConfigBad, "conn", uint64(s.id), "error", err.Error())
 		}
 	})
@@ -89,7 +89,7 @@
 		st.sessions[s.id] = s
 		st.table.Connect(now, s.id)
 		st.evacuations.PeerUp(evacuation.PeerID(s.id))
-		st.conf.Up(confsync.PeerID(s.id))
+		st.conf.PeerUp(confsync.PeerID(s.id))
 	})
 	s.dialers.opened(s.addr, w.DataCentre, s.id)
 	return nil
@@ -112,6 +112,6 @@
 		delete(st.sessions, s.id)
 		st.table.Disconnect(now, s.id)
 		st.evacuations.PeerDown(evacuation.PeerID(s.id))
-		st.conf.Down(confsync.PeerID(s.id))
+		st.conf.PeerDown(confsync.PeerID(s.id))
 	})
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -48,10 +48,10 @@
 	LeaseLimit       time.Duration
 	MemoryMB         int
 
-	Store   platformlog.Keyed
-	Target  Target
-	Why     func(error) runs.RenewFailure
-	Targets func(*Runner) http.Handler
+	Store              platformlog.Keyed
+	Target             Target
+	ClassifyRenewError func(error) runs.RenewFailure
+	NewTargetHandler   func(*Runner) http.Handler
 }
 
 const (
@@ -78,7 +78,7 @@
 // state is what the control goroutine owns.
 type state struct {
 	table       *runs.Table
-	conf        *confsync.Holder
+	conf        *confsync.Replica
 	evacuations *evacuation.Replica
 	sessions    map[runs.ConnID]*entrySession
 }
@@ -128,12 +128,12 @@
 func (r *Runner) newState() *state {
 	s := &state{sessions: map[runs.ConnID]*entrySession{}}
 	s.table = runs.New(runs.Options{Log: r.log, Target: (*calls)(r), Outbox: s, DataCentre: r.o.DataCentre, LeaseLimit: r.o.LeaseLimit})
-	s.conf = &confsync.Holder{Adopt: func(_ time.Time, version uint64, _ []byte) error {
+	s.conf = &confsync.Replica{Apply: func(_ time.Time, version uint64, _ []byte) error {
 		event.Log(r.log, event.ConfigApplied, "version", version, "kept_for", "entries")
 		return nil
 	}}
 	s.conf.Send = func(id confsync.PeerID, note wire.ConfigNote) { s.table.QueueConfigNote(runs.ConnID(id), note) }
-	s.evacuations = leased.NewEvacuations(r.log, func(id evacuation.PeerID, list []evacuation.Record) {
+	s.evacuations = leased.NewEvacuationReplica(r.log, func(id evacuation.PeerID, list []evacuation.Record) {
 		s.table.QueueEvacuations(runs.ConnID(id), list)
 	}, s.table.Evacuate)
 	return s
@@ -187,15 +187,15 @@
 }
 
 func (r *Runner) refreshMetrics() error {
-	return r.loop.Do(leased.MetricsPatience, func(_ time.Time, s *state) { r.metrics.update(s.table) })
+	return r.loop.Do(leased.MetricsTimeout, func(_ time.Time, s *state) { r.metrics.update(s.table) })
 }
 
 func (r *Runner) listen() error {
 	page := gin.New()
 	page.GET(leased.MetricsPath, leased.Metrics(r.log, r.metrics.Registry, r.refreshMetrics))
 	_, err := r.servers.Listen(r.log, leased.ConnLimits{HeaderTimeout: headerTimeout}, nil,
-		leased.Service{What: "the target", Addr: r.o.TargetsAddr, Handler: r.o.Targets(r)},
-		leased.Service{What: "metrics", Addr: r.o.MetricsAddr, Handler: page},
+		leased.Endpoint{Purpose: "the target", Addr: r.o.TargetsAddr, Handler: r.o.NewTargetHandler(r)},
+		leased.Endpoint{Purpose: "metrics", Addr: r.o.MetricsAddr, Handler: page},
 	)
 	return err
 }
@@ -204,7 +204,7 @@
 func (r *Runner) Start() {
 	go r.loop.Run()
 	r.servers.Serve()
-	r.Learn(r.o.Neighbours)
+	r.AddEntryAddrs(r.o.Neighbours)
 	go r.recall(r.ctx)
 	go platformlog.Watch(r.ctx, r.log, r.o.Store, leased.EntriesTopic, platformlog.ReadEach(r.hearRecord))
 	go r.renew(r.ctx)
@@ -212,8 +212,8 @@
 		"incarnation", r.incarnation.String(), "memory_mb", r.o.MemoryMB)
 }
 
-// Learn notes addresses at which dispatchers may be reached.
-func (r *Runner) Learn(addrs []string) {
+// AddEntryAddrs notes addresses at which dispatchers may be reached.
+func (r *Runner) AddEntryAddrs(addrs []string) {
 	peers := make([]wire.Peer, len(addrs))
 	for i, addr := range addrs {
 		peers[i].Addr = addr
@@ -244,8 +244,8 @@
 	r.renewNow()
 }
 
-// Depart takes the target's word that it ends.
-func (r *Runner) Depart(name string) {
+// Deregister takes the target's word that it ends.
+func (r *Runner) Deregister(name string) {
 	r.do(func(now time.Time, s *state) { s.table.Deregister(now, name) })
 }
 
--- a/internal/runner/target.go
+++ b/internal/runner/target.go
@@ -35,7 +35,7 @@
 		asked := r.clock.Now()
 		listing, err := r.o.Target.Renew(call)
 		if err != nil {
-			r.do(func(now time.Time, s *state) { s.table.RenewFailed(now, call, r.o.Why(err)) })
+			r.do(func(now time.Time, s *state) { s.table.RenewFailed(now, call, r.o.ClassifyRenewError(err)) })
 			r.pause(ctx, pause)
 			pause = failedAgainPause
 			continue
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -29,7 +29,7 @@
 	closeTimeout  = time.Second
 	headerTimeout = 5 * time.Second
 	// maxAnnounceTime keeps one announcement that hangs from holding up the next.
-	maxAnnounceTime = targetapi.AnnounceEvery
+	maxAnnounceTime = targetapi.AnnounceInterval
 )
 
 // Server is the stand-in: a target with its HTTP interface and its announcements.
@@ -98,7 +98,7 @@
 }
 
 func (s *Server) announceAlways(ctx context.Context) {
-	tick := time.NewTicker(targetapi.AnnounceEvery)
+	tick := time.NewTicker(targetapi.AnnounceInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		s.announce(ctx)
--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -30,8 +30,8 @@
 // Timing of announcements. Silence is three announcements, so that one that was
 // lost or late does not take a healthy target out of service.
 const (
-	AnnounceEvery = 500 * time.Millisecond
-	SilentAfter   = 3 * AnnounceEvery
+	AnnounceInterval = 500 * time.Millisecond
+	SilenceTimeout   = 3 * AnnounceInterval
 )
 
 // Limits of an announcement: far above any target, to catch mistakes.
@@ -57,8 +57,8 @@
 	Leaving      bool     `json:"leaving"`
 }
 
-// Check validates the announcement. The error is a *fault.Fault that names the field.
-func (a *Announcement) Check() error {
+// Validate validates the announcement. The error is a *fault.Fault that names the field.
+func (a *Announcement) Validate() error {
 	addr, err := netip.ParseAddrPort(a.Address)
 	switch {
 	case a.Name == "" || len(a.Name) > job.MaxNameBytes:
@@ -94,8 +94,8 @@
 	return fault.Input(fault.BadField, field, "takes "+strconv.Itoa(low)+" to "+strconv.Itoa(high))
 }
 
-// Target is the announcement as owners get it.
-func (a *Announcement) Target() wire.Target {
+// WireTarget is the announcement as owners get it.
+func (a *Announcement) WireTarget() wire.Target {
 	return wire.Target{
 		Name: a.Name, Classes: a.Classes, Slots: a.Slots, Speed: a.Speed, Leaving: a.Leaving,
 		Capacity: job.Demand{CPUMilli: a.CPUMilli, MemoryMB: a.MemoryMB, Accelerators: a.Accelerators},
