--- a/command/submit.go
+++ b/command/submit.go
@@ -98,7 +98,7 @@
 	}
 	s.Single = *f.single
 	s.Idempotent = s.Idempotent || *f.again
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 func (f *submitFlags) read() (*job.Submission, error) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,13 +55,13 @@
 
 // New returns a daemon that is bound to its address but does not serve yet.
 func New(o Options, log logr.Logger) (*Agent, error) {
-	invariant.SetCrash(o.CrashOnBreach)
+	invariant.SetCrashOnBreach(o.CrashOnBreach)
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", o.Listen)
 	}
 	a := &Agent{o: o, log: log, clock: clock.NewAnchored(), listener: listener, endAsked: make(chan struct{})}
-	a.metrics = newCounters(func() int { return a.control.Waiting() })
+	a.metrics = newCounters(func() int { return a.control.QueuedCommands() })
 	s := newState(o, log, a.metrics)
 	s.runTask = a.runTask
 	a.incarnation = s.incarnation
@@ -131,7 +131,7 @@
 	if closeErr := a.server.Shutdown(closing); err == nil && closeErr != nil {
 		err = errors.Wrap(closeErr, "close HTTP connections")
 	}
-	a.control.End()
+	a.control.Stop()
 	event.Log(a.log, event.ProcessStopped, "clean", err == nil)
 	return err
 }
--- a/internal/agent/caller.go
+++ b/internal/agent/caller.go
@@ -120,7 +120,7 @@
 }
 
 func notRun(err error) attempt.Outcome {
-	return attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonTarget, Detail: err.Error()}
+	return attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonTargetUnavailable, Detail: err.Error()}
 }
 
 // request makes a request that can be sent only once. GetBody stays unset: with it
@@ -147,7 +147,7 @@
 	}
 	detail, _ := io.ReadAll(io.LimitReader(response.Body, maxDetailBytes)) // what came is enough
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(targetapi.HeaderNotRun) == "1" {
-		return attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonTarget, Detail: string(detail)}
+		return attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonTargetUnavailable, Detail: string(detail)}
 	}
 	return attempt.Outcome{State: wire.FailedRun, Detail: fmt.Sprintf("status %d: %s", response.StatusCode, detail)}
 }
--- a/internal/agent/caller_test.go
+++ b/internal/agent/caller_test.go
@@ -27,7 +27,7 @@
 
 func TestAgent(t *testing.T) {
 	RegisterFailHandler(Fail)
-	invariant.SetCrash(true)
+	invariant.SetCrashOnBreach(true)
 	RunSpecs(t, "agent")
 }
 
@@ -98,7 +98,7 @@
 		Expect(listener.Close()).To(Succeed())
 		out := callOnce(listener.Addr().String(), task(1))
 		Expect(out.State).To(Equal(wire.NotRun))
-		Expect(out.Reason).To(Equal(wire.ReasonTarget))
+		Expect(out.Reason).To(Equal(wire.ReasonTargetUnavailable))
 	})
 
 	// The target dies after it has read the request, or in the middle of its
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -33,13 +33,13 @@
 func newControl(s *state, k clock.Clock, turned func(control.Turn)) *controlLoop {
 	stalls := gauges.StallObserver(s.log, tickEvery)
 	return &controlLoop{control.New(control.Options[*state]{
-		State: s, Clock: k, Turned: turned,
+		State: s, Clock: k, OnTurn: turned,
 		Tick: func(now time.Time, s *state) {
 			stalls()
 			s.tick(now)
 		},
-		Pace:  func(*state) time.Duration { return tickEvery },
-		Flush: func(s *state) { s.table.Flush() }, MaxCommands: maxCommands, MaxBatch: maxBatch,
+		TickInterval: func(*state) time.Duration { return tickEvery },
+		Flush:        func(s *state) { s.table.Flush() }, MaxCommands: maxCommands, MaxBatch: maxBatch,
 	})}
 }
 
--- a/internal/agent/entrysession.go
+++ b/internal/agent/entrysession.go
@@ -160,7 +160,7 @@
 
 func endEvent(r session.Reason) event.ID {
 	switch r {
-	case session.ReasonSilent, session.ReasonUnheard:
+	case session.ReasonSilent, session.ReasonUnacknowledged:
 		return event.SessionSilent
 	case session.ReasonFrame, session.ReasonRejected:
 		return event.BadFrame
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -20,7 +20,7 @@
 // told by then that it failed, and an effect so late would only surprise.
 func (a *Agent) callInTime(ctx context.Context, c *caller, s *wire.Start) callResult {
 	if a.clock.Now().UnixMilli() >= s.DeadlineMs {
-		return callResult{Outcome: attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonLate}}
+		return callResult{Outcome: attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonDeadlinePast}}
 	}
 	return c.call(ctx, s)
 }
--- a/internal/attempt/intake.go
+++ b/internal/attempt/intake.go
@@ -68,13 +68,13 @@
 		// start or asked about already, and its owner may have moved the task.
 		return wire.ReasonStale
 	case s.DeadlineMs <= i.now.UnixMilli():
-		return wire.ReasonLate
+		return wire.ReasonDeadlinePast
 	case i.target.Down:
-		return wire.ReasonTarget
+		return wire.ReasonTargetUnavailable
 	case i.pastLeaving():
 		return wire.ReasonLeaving
 	case i.policy == Push && len(i.queue) >= maxWaiting:
-		return wire.ReasonTarget
+		return wire.ReasonTargetUnavailable
 	case i.policy == Push && i.running >= i.target.Slots:
 		return wire.ReasonNone // it waits and is looked at again when a slot is free
 	}
--- a/internal/attempt/random_test.go
+++ b/internal/attempt/random_test.go
@@ -315,7 +315,7 @@
 // run, slots are never exceeded, and once it is calm no attempt, credit or slot is
 // lost. A user would notice a doubled effect, or a target that stays partly idle.
 func TestRandomSchedules(t *testing.T) {
-	invariant.SetCrash(true)
+	invariant.SetCrashOnBreach(true)
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/attempt/runner.go
+++ b/internal/attempt/runner.go
@@ -26,10 +26,10 @@
 // unfit returns why a task of this demand can't begin now, or ReasonNone.
 func (r runner) unfit(d job.Demand) wire.Reason {
 	if r.running >= r.target.Slots {
-		return wire.ReasonTarget // the target has announced fewer slots since the grant
+		return wire.ReasonTargetUnavailable // the target has announced fewer slots since the grant
 	}
-	if !d.Fits(r.target.Capacity.Minus(r.inUse)) {
-		return wire.ReasonTarget
+	if !d.Fits(r.target.Capacity.Sub(r.inUse)) {
+		return wire.ReasonTargetUnavailable
 	}
 	return wire.ReasonNone
 }
@@ -54,7 +54,7 @@
 	s := *a.start
 	a.state, a.start = wire.Running, nil
 	r.running++
-	r.inUse = r.inUse.Plus(a.demand)
+	r.inUse = r.inUse.Add(a.demand)
 	r.runningBy[k] = a
 	r.history.add(r.now, stepBegin, k, r.running)
 	if log, wanted := r.decisions(); wanted {
@@ -76,7 +76,7 @@
 		a := o.attempts[k.Seq]
 		switch reason := r.unfit(a.demand); {
 		case !a.deadline.After(r.now):
-			r.drop(o, k.Seq, a, wire.ReasonLate)
+			r.drop(o, k.Seq, a, wire.ReasonDeadlinePast)
 		case reason != wire.ReasonNone:
 			r.drop(o, k.Seq, a, reason)
 		default:
@@ -103,7 +103,7 @@
 	r.running--
 	r.granter.free()
 	r.board.finished++
-	r.inUse = r.inUse.Minus(a.demand)
+	r.inUse = r.inUse.Sub(a.demand)
 	invariant.Check(r.running >= 0 && out.State.Final(), r.log, "a call ends in a final state", &r.history)
 	a.state, a.reason = out.State, out.Reason
 	a.result, a.detail, a.runMs = out.Result, out.Detail, out.RunMs
@@ -169,7 +169,7 @@
 			continue
 		}
 		if a := o.attempts[k.Seq]; a.state == wire.Waiting && !a.deadline.After(r.now) {
-			r.drop(o, k.Seq, a, wire.ReasonLate)
+			r.drop(o, k.Seq, a, wire.ReasonDeadlinePast)
 		}
 	}
 }
--- a/internal/attempt/table_test.go
+++ b/internal/attempt/table_test.go
@@ -17,7 +17,7 @@
 
 func TestAttempt(t *testing.T) {
 	RegisterFailHandler(Fail)
-	invariant.SetCrash(true)
+	invariant.SetCrashOnBreach(true)
 	RunSpecs(t, "attempt")
 }
 
@@ -234,8 +234,8 @@
 		late.DeadlineMs = epoch.UnixMilli()
 		big.Demand.CPUMilli, more.Demand.CPUMilli = 800, 300
 		receive(1, &wire.ToAgent{Starts: []wire.Start{late, big, more}})
-		Expect(out.report(1, 1).Reason).To(Equal(wire.ReasonLate))
-		Expect(out.report(1, 3).Reason).To(Equal(wire.ReasonTarget))
+		Expect(out.report(1, 1).Reason).To(Equal(wire.ReasonDeadlinePast))
+		Expect(out.report(1, 3).Reason).To(Equal(wire.ReasonTargetUnavailable))
 		Expect(out.order).To(Equal([]attempt.Key{{Owner: ownerA, Seq: 2}}))
 	})
 
--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -40,7 +40,7 @@
 func (c *Client) send(ctx context.Context, entry string, k call) (*reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := silence.NewWatch(k.wait+c.options.CallTimeout, cancel)
+	watch := silence.NewWatchdog(k.wait+c.options.CallTimeout, cancel)
 	defer watch.Stop()
 	target := url.URL{Scheme: "http", Host: entry, Path: k.path}
 	if k.waits {
--- a/internal/client/hedge.go
+++ b/internal/client/hedge.go
@@ -28,7 +28,7 @@
 	}
 	go ask(first)
 	silent := make(chan struct{}, 1)
-	watch := silence.NewWatch(k.wait+c.options.HedgeDelay, func(error) { silent <- struct{}{} })
+	watch := silence.NewWatchdog(k.wait+c.options.HedgeDelay, func(error) { silent <- struct{}{} })
 	defer watch.Stop()
 	for open := 1; ; {
 		select {
--- a/internal/clock/stall.go
+++ b/internal/clock/stall.go
@@ -7,30 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// StallLimit is the pause above which a daemon counts as having stood still: longer
+// StallThreshold is the pause above which a daemon counts as having stood still: longer
 // than any of its ticks, and shorter than the silence after which peers give it up.
-const StallLimit = 400 * time.Millisecond
+const StallThreshold = 400 * time.Millisecond
 
-// Stall notices that the process stood still: it was frozen, or its host suspended.
+// StallDetector notices that the process stood still: it was frozen, or its host suspended.
 // The steady clock may not count such a time, and timers then say nothing of it. A
 // process that goes on as if nothing had happened acts on sessions and requests that
 // the other side has given up. The clock that counts suspensions is compared with
 // what should have passed between two looks.
-type Stall struct {
+type StallDetector struct {
 	limit time.Duration
 	last  atomic.Int64 // nanoseconds of the boot clock at the last look
 }
 
-// NewStall returns a detector of pauses over limit. Look must be called more often.
-func NewStall(limit time.Duration) *Stall {
-	s := &Stall{limit: limit}
+// NewStallDetector returns a detector of pauses over limit. Look must be called more often.
+func NewStallDetector(limit time.Duration) *StallDetector {
+	s := &StallDetector{limit: limit}
 	s.last.Store(bootNanos())
 	return s
 }
 
-// Look returns how long the process stood still since the last look; 0 where that is
+// Check returns how long the process stood still since the last look; 0 where that is
 // below the limit.
-func (s *Stall) Look() time.Duration {
+func (s *StallDetector) Check() time.Duration {
 	now := bootNanos()
 	gap := time.Duration(now - s.last.Swap(now))
 	if gap < s.limit {
--- a/internal/clock/starvation.go
+++ b/internal/clock/starvation.go
@@ -12,23 +12,25 @@
 	starvedNoise = 20 * time.Millisecond
 )
 
-// Starvation notices a process that is short of processor time: pauses that are each too
+// StarvationDetector notices a process that is short of processor time: pauses that are each too
 // short for Stall come in a row. Peers and callers see their sum. It belongs to one
 // goroutine.
-type Starvation struct {
+type StarvationDetector struct {
 	pace time.Duration
 	last int64 // nanoseconds of the boot clock at the last look
 	lost time.Duration
 }
 
-// NewStarvation returns a detector that is looked at every pace.
-func NewStarvation(pace time.Duration) *Starvation { return &Starvation{pace: pace, last: bootNanos()} }
+// NewStarvationDetector returns a detector that is looked at every pace.
+func NewStarvationDetector(pace time.Duration) *StarvationDetector {
+	return &StarvationDetector{pace: pace, last: bootNanos()}
+}
 
-// Look returns the sum of the pauses of about the last two seconds once it is worth
+// Check returns the sum of the pauses of about the last two seconds once it is worth
 // telling, and starts anew then; 0 before.
-func (s *Starvation) Look() time.Duration { return s.look(bootNanos()) }
+func (s *StarvationDetector) Check() time.Duration { return s.look(bootNanos()) }
 
-func (s *Starvation) look(now int64) time.Duration {
+func (s *StarvationDetector) look(now int64) time.Duration {
 	gap := time.Duration(now - s.last)
 	s.last = now
 	s.lost -= s.lost * min(gap, starvedWindow) / starvedWindow // what is older weighs less
--- a/internal/clock/starvation_test.go
+++ b/internal/clock/starvation_test.go
@@ -9,7 +9,7 @@
 
 // told returns the sums that a detector tells over a series of gaps between its looks.
 func told(gaps ...time.Duration) []time.Duration {
-	s := &Starvation{pace: 100 * time.Millisecond}
+	s := &StarvationDetector{pace: 100 * time.Millisecond}
 	var sums []time.Duration
 	now := int64(0)
 	for _, gap := range gaps {
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -213,7 +213,7 @@
 	var atEntry, atAgent *config.Peer
 	link := func() *rand.Rand { return rand.New(rand.NewPCG(rng.Uint64(), 0)) }
 	atEntry = f.fans[e].Add(config.NewEntryLink(f.entries[e], link()), func(mark uint64, update []byte) {
-		frame, err := wire.Encode(&wire.ToAgent{Seq: 1 << 20, Heard: 1 << 20, Version: mark, Config: update})
+		frame, err := wire.Encode(&wire.ToAgent{Seq: 1 << 20, AckSeq: 1 << 20, Version: mark, Config: update})
 		must(f.b, err)
 		f.sent += len(frame)
 		if update != nil {
@@ -222,7 +222,7 @@
 		f.queue = append(f.queue, func() { must(f.b, atAgent.Heard(mark, update)) })
 	})
 	atAgent = f.agentFan.Add(config.NewAgentLink(agent, link()), func(mark uint64, update []byte) {
-		frame, err := wire.Encode(&wire.ToEntry{Seq: 1 << 20, Heard: 1 << 20, Version: mark, Config: update})
+		frame, err := wire.Encode(&wire.ToEntry{Seq: 1 << 20, AckSeq: 1 << 20, Version: mark, Config: update})
 		must(f.b, err)
 		f.returned += len(frame)
 		f.queue = append(f.queue, func() { must(f.b, atEntry.Heard(mark, update)) })
--- a/internal/config/processes_test.go
+++ b/internal/config/processes_test.go
@@ -51,11 +51,11 @@
 // watchOwnStalls adds to the report when this process stood still: a call that it gave
 // up then was not late for the daemon's sake.
 func watchOwnStalls(ctx context.Context) {
-	stall := clock.NewStall(clock.StallLimit)
+	stall := clock.NewStallDetector(clock.StallThreshold)
 	go func() {
 		for ctx.Err() == nil {
-			clock.Sleep(ctx, clock.StallLimit/8)
-			if gap := stall.Look(); gap > 0 {
+			clock.Sleep(ctx, clock.StallThreshold/8)
+			if gap := stall.Check(); gap > 0 {
 				AddReportEntry("the test stood still", gap.String(), ReportEntryVisibilityFailureOrVerbose)
 			}
 		}
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -75,7 +75,7 @@
 			return err
 		}
 	}
-	if note.Want && h.version > 0 {
+	if note.WantBody && h.version > 0 {
 		h.Send(id, wire.ConfigNote{Version: h.version, Body: h.body})
 	}
 	h.ask(now)
@@ -121,5 +121,5 @@
 		return
 	}
 	h.asked, h.askedAt = best, now
-	h.Send(best, wire.ConfigNote{Version: h.version, Want: true})
+	h.Send(best, wire.ConfigNote{Version: h.version, WantBody: true})
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -27,22 +27,22 @@
 	State S
 	Clock clock.Clock
 	// Tick does what the passing of time brings; Pace is the time to the next one.
-	Tick func(now time.Time, state S)
-	Pace func(state S) time.Duration
+	Tick         func(now time.Time, state S)
+	TickInterval func(state S) time.Duration
 	// Flush follows each batch of commands and each tick.
 	Flush       func(state S)
 	MaxCommands int // that wait for the goroutine
 	MaxBatch    int // between two flushes
-	// Turned, where set, is told how long each turn took: a batch of commands, or a
+	// OnTurn, where set, is told how long each turn took: a batch of commands, or a
 	// tick, with its flush. It runs on the control goroutine and must not block.
-	Turned func(Turn)
+	OnTurn func(Turn)
 }
 
 // Turn is one pass of the control goroutine.
 type Turn struct {
-	Took     time.Duration
-	Commands int // that it ran; 0 for a tick
-	Waiting  int // commands that wait for the next one
+	Duration       time.Duration
+	Commands       int // that it ran; 0 for a tick
+	QueuedCommands int // commands that wait for the next one
 }
 
 // Command is something to do with the state, on the control goroutine.
@@ -71,7 +71,7 @@
 	defer close(l.stopped)
 	lastTick := time.Now()
 	l.o.Tick(l.o.Clock.Now(), l.o.State)
-	tick := time.NewTimer(l.o.Pace(l.o.State))
+	tick := time.NewTimer(l.o.TickInterval(l.o.State))
 	defer tick.Stop()
 	for {
 		var began time.Time
@@ -90,7 +90,7 @@
 		l.o.Flush(l.o.State)
 		l.turned(began, commands)
 		// Counted from the last tick, so that commands can't put the next one off.
-		tick.Reset(time.Until(lastTick.Add(l.o.Pace(l.o.State))))
+		tick.Reset(time.Until(lastTick.Add(l.o.TickInterval(l.o.State))))
 	}
 }
 
@@ -110,13 +110,13 @@
 }
 
 func (l *Loop[S]) turned(began time.Time, commands int) {
-	if l.o.Turned != nil {
-		l.o.Turned(Turn{Took: time.Since(began), Commands: commands, Waiting: l.Waiting()})
+	if l.o.OnTurn != nil {
+		l.o.OnTurn(Turn{Duration: time.Since(began), Commands: commands, QueuedCommands: l.QueuedCommands()})
 	}
 }
 
-// Waiting returns how many commands wait.
-func (l *Loop[S]) Waiting() int { return len(l.commands) }
+// QueuedCommands returns how many commands wait.
+func (l *Loop[S]) QueuedCommands() int { return len(l.commands) }
 
 // Push hands over a command, however long that takes. Connections of peers use it:
 // while one waits here, its peer sees that its frames are not heard. The error is
@@ -167,11 +167,11 @@
 	}
 }
 
-// End stops the loop and waits for it. Call it once, after Run was started.
-func (l *Loop[S]) End() {
+// Stop stops the loop and waits for it. Call it once, after Run was started.
+func (l *Loop[S]) Stop() {
 	close(l.stop)
 	<-l.stopped
 }
 
-// Ended is closed when the loop has ended.
-func (l *Loop[S]) Ended() <-chan struct{} { return l.stopped }
+// Done is closed when the loop has ended.
+func (l *Loop[S]) Done() <-chan struct{} { return l.stopped }
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -15,8 +15,8 @@
 	turns := make(chan Turn, 16)
 	l := New(Options[int]{
 		Clock: clock.NewFake(time.UnixMilli(1)), MaxCommands: 8, MaxBatch: 2,
-		Tick: func(time.Time, int) {}, Pace: func(int) time.Duration { return time.Hour }, Flush: func(int) {},
-		Turned: func(turn Turn) { turns <- turn },
+		Tick: func(time.Time, int) {}, TickInterval: func(int) time.Duration { return time.Hour }, Flush: func(int) {},
+		OnTurn: func(turn Turn) { turns <- turn },
 	})
 	const held = 20 * time.Millisecond
 	entered, leave := make(chan struct{}), make(chan struct{})
@@ -29,10 +29,10 @@
 	time.Sleep(held)
 	close(leave)
 	first := <-turns
-	g.Expect(first.Took).To(BeNumerically(">=", held))
+	g.Expect(first.Duration).To(BeNumerically(">=", held))
 	g.Expect(first.Commands).To(Equal(2))
-	g.Expect(first.Waiting).To(Equal(3))
+	g.Expect(first.QueuedCommands).To(Equal(3))
 	g.Expect((<-turns).Commands).To(Equal(2))
-	g.Expect((<-turns).Waiting).To(BeZero())
-	l.End()
+	g.Expect((<-turns).QueuedCommands).To(BeZero())
+	l.Stop()
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -44,7 +44,7 @@
 					for k := range orders {
 						outcomes[k] = wire.RunOutcome{Seq: orders[k].Seq, End: wire.EndDone, RunMs: 60}
 					}
-					c.Receive(now, id, &wire.LeasedToEntry{Outcomes: outcomes, Load: &wire.Load{Free: capacity, Speed: 1, Seen: 1 << 40}})
+					c.Receive(now, id, &wire.LeasedToEntry{Outcomes: outcomes, Load: &wire.Load{Free: capacity, Speed: 1, LastSeq: 1 << 40}})
 				}
 				clear(out.orders)
 				if i%64 == 0 {
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -16,18 +16,18 @@
 // recordCrash passes an agent's report on an incarnation of its target to the crash loop
 // detector: that it does not answer, has crashed, or answers again.
 func (c *Core) recordCrash(a *agent, crash *wire.Crash) {
-	incarnation := crashloop.Incarnation{Target: crash.Target, StartedMs: crash.BornMs}
+	incarnation := crashloop.Incarnation{Target: crash.Target, StartedMs: crash.StartedMs}
 	tasks := make([]crashloop.Task, len(crash.Tasks))
 	for i, t := range crash.Tasks {
 		tasks[i] = crashloop.Task{Job: t.Job, Step: t.Step, Index: t.Index}
 	}
-	event.Log(c.log, event.TargetCrashed, "host", a.host, "target", crash.Target, "born_ms", crash.BornMs, "fate", int(crash.Fate), "tasks", len(tasks))
+	event.Log(c.log, event.TargetCrashed, "host", a.host, "target", crash.Target, "born_ms", crash.StartedMs, "fate", int(crash.Fate), "tasks", len(tasks))
 	switch crash.Fate {
-	case wire.FateSilent:
+	case wire.FateUnresponsive:
 		c.crashes.RecordUnresponsive(c.now, incarnation, tasks)
 	case wire.FateCrashed:
 		c.crashes.RecordCrash(c.now, incarnation, tasks)
-	case wire.FateBack:
+	case wire.FateRecovered:
 		c.crashes.RecordRecovery(incarnation)
 	}
 }
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -14,8 +14,8 @@
 // answers again, with a running task of each job. All open orders of the session end as
 // stopped.
 func (h *harness) reportCrash(id ConnID, fate wire.Fate, jobs ...string) {
-	c := wire.Crash{Target: "t" + string(rune('a'+id)), BornMs: 1, Fate: fate}
-	f := &wire.LeasedToEntry{Load: &wire.Load{Down: fate != wire.FateBack, Seen: 1 << 40, Speed: 1}}
+	c := wire.Crash{Target: "t" + string(rune('a'+id)), StartedMs: 1, Fate: fate}
+	f := &wire.LeasedToEntry{Load: &wire.Load{Down: fate != wire.FateRecovered, LastSeq: 1 << 40, Speed: 1}}
 	for _, job := range jobs {
 		c.Tasks = append(c.Tasks, wire.TaskRef{Job: job})
 	}
@@ -78,12 +78,12 @@
 // against failing a job whose targets were only unreachable.
 func TestJobIsQuarantinedWhileItsTargetsDoNotAnswer(t *testing.T) {
 	h := newHarness(t, 3)
-	h.reportCrash(1, wire.FateSilent, "1")
+	h.reportCrash(1, wire.FateUnresponsive, "1")
 	h.advance(time.Second)
-	h.reportCrash(2, wire.FateSilent, "1")
+	h.reportCrash(2, wire.FateUnresponsive, "1")
 	caller := h.submit(h.newJob("1", 1))
 	h.Expect(caller.answers).To(ConsistOf(And(HaveField("Kind", AnswerNotRun), HaveField("Fault.Code", fault.Suspected))))
-	h.reportCrash(1, wire.FateBack, "1")
+	h.reportCrash(1, wire.FateRecovered, "1")
 	again := h.submit(h.newJob("1", 1))
 	h.Expect(again.answers).To(BeEmpty())
 	h.Expect(h.orderCount()).To(Equal(1), "they had not crashed")
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -50,7 +50,7 @@
 	h.setLoad(2, h.fullLoad(30))
 	caller := h.submit(h.newJob("j", 2))
 	one, two := h.sentOrders()[1][0], h.sentOrders()[2][0]
-	h.reportOutcome(1, one.Seq, wire.EndNotRun, wire.NotRunLate)
+	h.reportOutcome(1, one.Seq, wire.EndNotRun, wire.NotRunExpired)
 	h.Expect(caller.answers).To(BeEmpty(), "the other order may be running")
 	h.Expect(h.out.recalls[2]).To(ConsistOf(two.Seq))
 	h.reportOutcome(2, two.Seq, wire.EndNotRun, wire.NotRunRecalled)
@@ -64,7 +64,7 @@
 	h.setLoad(1, h.fullLoad(30)) // the tasks wait
 	h.setLoad(2, h.fullLoad(30))
 	caller := h.submit(h.newJob("j", 2))
-	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndNotRun, wire.NotRunLate)
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndNotRun, wire.NotRunExpired)
 	h.reportOutcome(2, h.sentOrders()[2][0].Seq, wire.EndStopped, 0)
 	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
@@ -75,7 +75,7 @@
 	h.setLoad(1, h.fullLoad(30)) // the tasks wait
 	h.setLoad(2, h.fullLoad(30))
 	caller := h.submit(h.newJob("j", 2))
-	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndNotRun, wire.NotRunLate)
+	h.reportOutcome(1, h.sentOrders()[1][0].Seq, wire.EndNotRun, wire.NotRunExpired)
 	h.advance(2 * maxProofWait)
 	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
@@ -171,7 +171,7 @@
 	for name, change := range map[string]func(*wire.Load){
 		"leaving": func(l *wire.Load) { l.Leaving = true },
 		"down":    func(l *wire.Load) { l.Down = true },
-		"shunned": func(l *wire.Load) { l.Shunned = true },
+		"shunned": func(l *wire.Load) { l.Rejecting = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 2)
@@ -264,7 +264,7 @@
 		placedOn = 2
 	}
 	l := h.idleLoad()
-	l.Shunned, l.Seen = true, 1
+	l.Rejecting, l.LastSeq = true, 1
 	h.setLoad(placedOn, l)
 	for range 20 {
 		h.advance(20 * time.Millisecond)
@@ -302,7 +302,7 @@
 	caller := h.submit(j)
 	h.Expect(h.sentOrders()[1]).To(HaveLen(2), "there is capacity for two")
 	h.now = h.now.Add(150 * time.Millisecond)
-	h.reportOutcome(2, h.sentOrders()[2][0].Seq, wire.EndNotRun, wire.NotRunLate)
+	h.reportOutcome(2, h.sentOrders()[2][0].Seq, wire.EndNotRun, wire.NotRunExpired)
 	h.Expect(caller.answers).To(BeEmpty())
 	h.Expect(h.orderCount()).To(Equal(4))
 	last := h.sentOrders()[1][len(h.sentOrders()[1])-1]
@@ -353,7 +353,7 @@
 	if len(h.sentOrders()[1]) == 0 {
 		placedOn = 2
 	}
-	h.reportOutcome(placedOn, h.sentOrders()[placedOn][0].Seq, wire.EndNotRun, wire.NotRunBusy)
+	h.reportOutcome(placedOn, h.sentOrders()[placedOn][0].Seq, wire.EndNotRun, wire.NotRunAlreadyRunning)
 	h.Expect(h.orderCount()).To(Equal(1))
 	h.Expect(caller.answers).To(ConsistOf(HaveField("Kind", AnswerUnknown)))
 }
@@ -372,7 +372,7 @@
 		for id, list := range h.out.orders {
 			for _, order := range list {
 				idle := h.idleLoad()
-				idle.Seen = order.Seq
+				idle.LastSeq = order.Seq
 				h.Receive(h.now, id, &wire.LeasedToEntry{Load: idle, Outcomes: []wire.RunOutcome{{Seq: order.Seq, End: wire.EndDone, RunMs: 100}}})
 			}
 			delete(h.out.orders, id)
@@ -412,7 +412,7 @@
 				tried[id] = true
 				h.Expect(sent[0].Movable).To(BeTrue(), "move %d", move)
 				h.setLoad(id, h.fullLoad(100))
-				h.reportOutcome(id, sent[0].Seq, wire.EndNotRun, wire.NotRunCrowded)
+				h.reportOutcome(id, sent[0].Seq, wire.EndNotRun, wire.NotRunWaitTooLong)
 				break
 			}
 		}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -60,7 +60,7 @@
 // fullLoad returns the load of a target without free capacity, on which a new task waits
 // waitMs.
 func (h *harness) fullLoad(waitMs float64) *wire.Load {
-	l := &wire.Load{Speed: 1, Seen: 1 << 40}
+	l := &wire.Load{Speed: 1, LastSeq: 1 << 40}
 	for i := range l.WaitMs {
 		l.WaitMs[i] = waitMs
 	}
--- a/internal/dispatch/headroom_test.go
+++ b/internal/dispatch/headroom_test.go
@@ -11,7 +11,7 @@
 // emptyLoad returns the load of a target on which all orders sent so far have ended.
 func (h *harness) emptyLoad() *wire.Load {
 	l := h.idleLoad()
-	l.Seen = 1 << 40
+	l.LastSeq = 1 << 40
 	return l
 }
 
--- a/internal/dispatch/overdue.go
+++ b/internal/dispatch/overdue.go
@@ -50,7 +50,7 @@
 		}
 		event.Log(c.log, event.TaskOverdue, "job", l.ID, "step", at.task.step, "task", at.task.index, "host", at.agent.host,
 			"target", at.agent.targetName(), "after_ms", clock.Millis(c.now.Sub(at.placedAt)), "expected_ms", clock.Millis(at.expectedTime),
-			"shunned", at.agent.load.Shunned, "speed", at.agent.load.Speed, "load_age_ms", clock.Millis(c.now.Sub(at.agent.loadAt)))
+			"shunned", at.agent.load.Rejecting, "speed", at.agent.load.Speed, "load_age_ms", clock.Millis(c.now.Sub(at.agent.loadAt)))
 		if !c.worthPlacing(l, at.task) {
 			l.mayHaveRun = true // the order was sent and may have started
 			c.giveUp(l, fault.New(fault.DeadlineExceeded, "a task of it stands still, and it can't be done in time elsewhere"))
@@ -67,7 +67,7 @@
 // isOverdue reports whether an attempt takes far longer than predicted.
 func (c *Core) isOverdue(at *attempt) bool {
 	factor := time.Duration(overdueFactor)
-	if at.agent.load.Shunned {
+	if at.agent.load.Rejecting {
 		factor = shunnedFactor
 	}
 	return c.now.Sub(at.placedAt) > factor*at.expectedTime+overdueMargin
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -43,7 +43,7 @@
 
 // usable reports whether the agent has a target that accepts new orders.
 func (a *agent) usable() bool {
-	return a.target != nil && !a.load.Leaving && !a.load.Down && !a.load.Shunned
+	return a.target != nil && !a.load.Leaving && !a.load.Down && !a.load.Rejecting
 }
 
 // collectCandidates rebuilds candidates and candidateAgents from the usable agents of the
@@ -90,15 +90,15 @@
 	return cand
 }
 
-// horizonIndex returns the index in wire.Horizons of the wait prediction for a task with
+// horizonIndex returns the index in wire.SlackHorizonsMs of the wait prediction for a task with
 // that slack.
 func horizonIndex(slackMs float64) int {
-	for i, h := range wire.Horizons {
+	for i, h := range wire.SlackHorizonsMs {
 		if slackMs <= h {
 			return i
 		}
 	}
-	return len(wire.Horizons) - 1
+	return len(wire.SlackHorizonsMs) - 1
 }
 
 // placementTask describes a task for a placement. The functions in the result refer to
@@ -202,8 +202,8 @@
 	a.outgoing.Orders = append(a.outgoing.Orders, wire.Order{
 		Seq: at.seq, Job: l.ID, Step: t.step, Index: t.index, Run: at.run, Spec: l.Spec,
 		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate),
-		SlackMs: int64(slackMs), GiveUpMs: int64(giveUpMs), LimitMs: l.Deadline.Sub(c.now).Milliseconds(),
-		Movable: t.crowdedReturns < maxCrowdedReturns, WaitMs: choice.StartMs, Unguarded: !l.Queue.EnforcesCapacity,
+		SlackMs: int64(slackMs), MaxWaitMs: int64(giveUpMs), TimeoutMs: l.Deadline.Sub(c.now).Milliseconds(),
+		Movable: t.crowdedReturns < maxCrowdedReturns, ExpectedWaitMs: choice.StartMs, IgnoresCapacity: !l.Queue.EnforcesCapacity,
 	})
 	a.hasOutgoing = true
 }
--- a/internal/dispatch/sessions.go
+++ b/internal/dispatch/sessions.go
@@ -92,7 +92,7 @@
 	}
 	a.load, a.loadAt = *load, c.now
 	counted := 0
-	for counted < len(a.uncounted) && a.uncounted[counted].seq <= load.Seen {
+	for counted < len(a.uncounted) && a.uncounted[counted].seq <= load.LastSeq {
 		counted++
 	}
 	a.uncounted = slices.Delete(a.uncounted, 0, counted)
@@ -128,7 +128,7 @@
 	if a == nil {
 		return
 	}
-	a.outgoing.Config, a.hasOutgoing = note.After(a.outgoing.Config), true
+	a.outgoing.Config, a.hasOutgoing = note.MergeWith(a.outgoing.Config), true
 }
 
 // Evacuate excludes the targets of a data centre from placement, or includes them again if
@@ -161,5 +161,5 @@
 	if a == nil || interval <= 0 {
 		return
 	}
-	a.outgoing.LoadEveryMs, a.hasOutgoing = max(1, interval.Milliseconds()), true
+	a.outgoing.LoadIntervalMs, a.hasOutgoing = max(1, interval.Milliseconds()), true
 }
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -107,12 +107,12 @@
 	switch out.Reason {
 	case wire.NotRunStale:
 		l.runOffset += staleRunStep
-	case wire.NotRunCrowded:
+	case wire.NotRunWaitTooLong:
 		t.crowdedReturns++
 	}
 	event.Log(c.log, event.TaskReplaced, "job", l.ID, "step", t.step, "task", t.index, "host", a.host, "end", int(out.End),
 		"reason", int(out.Reason), "waited_ms", out.WaitMs, "left_ms", clock.Millis(l.objective.Sub(c.now)))
-	if out.Reason == wire.NotRunBusy {
+	if out.Reason == wire.NotRunAlreadyRunning {
 		// A run for an earlier owner is still active at that agent. If the task started
 		// on another target, it would run twice at once. The caller sends the job again
 		// after a fixed pause.
@@ -120,7 +120,7 @@
 		c.giveUp(l, fault.New(fault.OutcomeUnknown, "an earlier run of a task of it is not over"))
 		return
 	}
-	if out.End == wire.EndNotRun && out.Reason == wire.NotRunLate && !l.mayHaveBegun() {
+	if out.End == wire.EndNotRun && out.Reason == wire.NotRunExpired && !l.mayHaveBegun() {
 		c.giveUp(l, fault.New(fault.Overloaded, "it can't be done in time any more"))
 		return
 	}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -95,7 +95,7 @@
 	o           Options
 	log         logr.Logger
 	clock       clock.Clock
-	stall       *clock.Stall
+	stall       *clock.StallDetector
 	incarnation job.Incarnation
 	loop        *control.Loop[*state]
 	metrics     *counters
@@ -112,14 +112,14 @@
 func New(o Options, log logr.Logger) (*Dispatcher, error) {
 	leased.LimitMemory(o.MemoryMB)
 	d := &Dispatcher{
-		o: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStall(clock.StallLimit), incarnation: job.NewIncarnation(),
+		o: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold), incarnation: job.NewIncarnation(),
 	}
-	d.metrics = newCounters(func() int { return d.loop.Waiting() })
+	d.metrics = newCounters(func() int { return d.loop.QueuedCommands() })
 	d.sessions = newSessions(d)
 	d.loop = control.New(control.Options[*state]{
 		State: d.newState(), Clock: d.clock, MaxCommands: maxCommands, MaxBatch: maxBatch,
-		Tick: d.tick, Pace: func(*state) time.Duration { return tickEvery }, Flush: func(s *state) { s.core.Flush() },
-		Turned: d.metrics.TurnObserver(log),
+		Tick: d.tick, TickInterval: func(*state) time.Duration { return tickEvery }, Flush: func(s *state) { s.core.Flush() },
+		OnTurn: d.metrics.TurnObserver(log),
 	})
 	if err := d.listen(); err != nil {
 		d.servers.Close()
@@ -173,7 +173,7 @@
 }
 
 func (d *Dispatcher) tick(now time.Time, s *state) {
-	if gap := d.stall.Look(); gap > 0 {
+	if gap := d.stall.Check(); gap > 0 {
 		event.Log(d.log, event.ProcessStalled, "ms", gap.Milliseconds())
 	}
 	s.core.Tick(now)
@@ -245,7 +245,7 @@
 	err := d.callers.Shutdown(closing)
 	d.stop()
 	d.servers.Close()
-	d.loop.End()
+	d.loop.Stop()
 	event.Log(d.log, event.ProcessStopped, "clean", err == nil, "after_ms", time.Since(began).Milliseconds())
 	return nil
 }
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -86,7 +86,7 @@
 	if !r.opened {
 		return r.open(f.Hello)
 	}
-	if f.Heartbeat() {
+	if f.IsHeartbeat() {
 		return nil // the session has seen it
 	}
 	return r.loop.Push(func(now time.Time, s *state) {
@@ -179,7 +179,7 @@
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
 		id := event.SessionClosed
-		if closed.Reason == session.ReasonSilent || closed.Reason == session.ReasonUnheard {
+		if closed.Reason == session.ReasonSilent || closed.Reason == session.ReasonUnacknowledged {
 			id = event.SessionSilent
 		}
 		event.Log(r.log, id, "conn", uint64(r.id), "peer", r.conn.RemoteAddr(), "reason", string(closed.Reason), "error", closed.Error())
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -89,7 +89,7 @@
 	if err := s.config.Heard(f.Version, f.Config); err != nil {
 		return err
 	}
-	if f.Heartbeat() {
+	if f.IsHeartbeat() {
 		return nil // the session has seen it, and the owner need not
 	}
 	return s.control.Push(func(now time.Time, c core) {
@@ -137,7 +137,7 @@
 	id := event.SessionClosed
 	var protocol *owner.ProtocolError
 	switch {
-	case closed.Reason == session.ReasonSilent, closed.Reason == session.ReasonUnheard:
+	case closed.Reason == session.ReasonSilent, closed.Reason == session.ReasonUnacknowledged:
 		id = event.SessionSilent
 	case closed.Reason == session.ReasonFrame, closed.Reason == session.ReasonRejected, errors.As(closed, &protocol):
 		id = event.BadFrame
--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -54,7 +54,7 @@
 	h := &holder{answer: job.Answer{ID: id.String(), State: job.Failed, Failure: fault.New(fault.OutcomeUnknown, "")}}
 	control := newControl(h, now, logr.Discard(), nil)
 	go control.Run()
-	t.Cleanup(control.End)
+	t.Cleanup(control.Stop)
 	return &answerCase{g, &api{clock: now, control: control, unclaimed: newUnclaimed()}, id, now, h}
 }
 
--- a/internal/entry/catchup.go
+++ b/internal/entry/catchup.go
@@ -40,7 +40,7 @@
 	defer close(e.api.caughtUp)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	watch := silence.NewWatch(catchUpTimeout, cancel)
+	watch := silence.NewWatchdog(catchUpTimeout, cancel)
 	defer watch.Stop()
 	silent = e.o.entries()
 	told := make(chan string, len(silent))
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -70,8 +70,8 @@
 			stalls()
 			c.Tick(now)
 		},
-		Pace:  pace,
-		Flush: core.Flush, MaxCommands: maxCommands, MaxBatch: maxBatch, Turned: turned,
+		TickInterval: pace,
+		Flush:        core.Flush, MaxCommands: maxCommands, MaxBatch: maxBatch, OnTurn: turned,
 	})}
 }
 
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -26,7 +26,7 @@
 	for range maxCommands {
 		g.Expect(c.Push(func(time.Time, core) { ran++ })).To(Succeed())
 	}
-	for c.Waiting() < maxCommands { // the first may have been taken before
+	for c.QueuedCommands() < maxCommands { // the first may have been taken before
 		g.Expect(c.Push(func(time.Time, core) { ran++ })).To(Succeed())
 	}
 	lost := false
@@ -41,7 +41,7 @@
 	g.Expect(c.do(func(time.Time, core) {})).To(Succeed())
 	g.Expect(ran).To(BeNumerically(">=", maxCommands))
 	g.Expect(lost).To(BeFalse())
-	c.End()
+	c.Stop()
 	g.Expect(c.do(func(time.Time, core) {})).To(MatchError(control.ErrStopped))
 }
 
--- a/internal/entry/decode_test.go
+++ b/internal/entry/decode_test.go
@@ -26,7 +26,7 @@
 		g := NewWithT(t)
 		b, err := decodeSubmission(body, false)
 		if err == nil {
-			err = b.Check()
+			err = b.Validate()
 		}
 		if err != nil {
 			var bad *fault.Fault
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -76,7 +76,7 @@
 	e.control.endOnce.Do(func() {
 		e.drainErr = err
 		e.api.config.end()
-		e.control.End()
+		e.control.Stop()
 		e.api.agents.outbox.closeAll()
 		event.Log(e.log, event.ProcessStopped, "clean", err == nil)
 		close(e.drainedCh)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -54,7 +54,7 @@
 
 // New returns a daemon that is bound to its address but does not serve yet.
 func New(o Options, log logr.Logger) (*Entry, error) {
-	invariant.SetCrash(o.CrashOnBreach)
+	invariant.SetCrashOnBreach(o.CrashOnBreach)
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", o.Listen)
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	e := &Entry{o: o, log: log, clock: clock.NewAnchoredThroughSuspend(), listener: listener, drainedCh: make(chan struct{})}
-	metrics, err := newCounters(func() int { return e.control.Waiting() })
+	metrics, err := newCounters(func() int { return e.control.QueuedCommands() })
 	if err != nil {
 		_ = listener.Close()
 		return nil, errors.Wrap(err, "register metrics")
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -80,7 +80,7 @@
 
 // accept hands a submission that this entry owns to the control state.
 func (a *api) accept(g *gin.Context, s *job.Submission, wait time.Duration) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		writeFault(g, s.ID.String(), a.unlessKnown(s.ID, err))
 		return
 	}
--- a/internal/fleet/world_test.go
+++ b/internal/fleet/world_test.go
@@ -28,7 +28,7 @@
 )
 
 func init() {
-	invariant.SetCrash(true)
+	invariant.SetCrashOnBreach(true)
 	// Both are numbers; the command line is read later and wins.
 	_ = flag.Set("rapid.checks", checks)
 	_ = flag.Set("rapid.steps", steps)
@@ -379,7 +379,7 @@
 	case wire.Succeeded:
 		out.Result = result(c.start.Job, c.start.Task)
 	case wire.NotRun:
-		out.Reason = wire.ReasonTarget
+		out.Reason = wire.ReasonTargetUnavailable
 		w.starts[fmt.Sprintf("%s/%d", c.start.Job, c.start.Task)]--
 	}
 	a.table.CompleteCall(a.now(), c.key, out)
--- a/internal/forward/peer.go
+++ b/internal/forward/peer.go
@@ -102,7 +102,7 @@
 func (p *peer) call(ctx context.Context, r Request, wait, limit time.Duration) (*Reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := silence.NewWatch(limit, cancel)
+	watch := silence.NewWatchdog(limit, cancel)
 	defer watch.Stop()
 	request, err := p.request(ctx, r, wait, watch)
 	if err != nil {
@@ -116,7 +116,7 @@
 	if err := checkIncarnation(response, r); err != nil {
 		return nil, err
 	}
-	watch.Moved()
+	watch.RecordProgress()
 	body, err := io.ReadAll(io.LimitReader(&watchedReader{response.Body, watch}, maxReplyBytes+1))
 	if err != nil {
 		return nil, lost(ctx, err)
@@ -127,7 +127,7 @@
 	return &Reply{Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After"), Body: body}, nil
 }
 
-func (p *peer) request(ctx context.Context, r Request, wait time.Duration, w *silence.Watch) (*http.Request, error) {
+func (p *peer) request(ctx context.Context, r Request, wait time.Duration, w *silence.Watchdog) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: p.addr.String(), Path: r.Path}
 	if r.AcceptsWait {
 		target.RawQuery = waitQuery(wait)
@@ -174,14 +174,14 @@
 
 type watchedReader struct {
 	io.Reader
-	watch *silence.Watch
+	watch *silence.Watchdog
 }
 
 // Read implements io.Reader.
 func (r *watchedReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	if n > 0 {
-		r.watch.Moved()
+		r.watch.RecordProgress()
 	}
 	return n, err
 }
--- a/internal/gauges/stalls.go
+++ b/internal/gauges/stalls.go
@@ -12,10 +12,10 @@
 // StallObserver returns an observer of the ticks of a control goroutine, which come every pace at
 // the most. It logs when the process stood still, for long or for short times in a row.
 func StallObserver(log logr.Logger, pace time.Duration) func() {
-	stall, starvation := clock.NewStall(clock.StallLimit), clock.NewStarvation(pace)
+	stall, starvation := clock.NewStallDetector(clock.StallThreshold), clock.NewStarvationDetector(pace)
 	return func() {
-		lost := starvation.Look()
-		if gap := stall.Look(); gap > 0 {
+		lost := starvation.Check()
+		if gap := stall.Check(); gap > 0 {
 			event.Log(log, event.ProcessStalled, "ms", gap.Milliseconds())
 			return
 		}
--- a/internal/gauges/turns.go
+++ b/internal/gauges/turns.go
@@ -29,12 +29,12 @@
 func (s Set) TurnObserver(log logr.Logger) func(control.Turn) {
 	sample := metrics.NewRegisteredHistogram("control.turn_us", s.Registry, metrics.NewExpDecaySample(turnSamples, turnDecay))
 	return func(t control.Turn) {
-		if t.Took < countedTurn {
+		if t.Duration < countedTurn {
 			return
 		}
-		sample.Update(t.Took.Microseconds())
-		if t.Took >= slowTurn {
-			event.Log(log, event.ControlSlow, "ms", t.Took.Milliseconds(), "commands", t.Commands, "waiting", t.Waiting)
+		sample.Update(t.Duration.Microseconds())
+		if t.Duration >= slowTurn {
+			event.Log(log, event.ControlSlow, "ms", t.Duration.Milliseconds(), "commands", t.Commands, "waiting", t.QueuedCommands)
 		}
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -20,15 +20,15 @@
 
 // Breach is the value that a check panics with when crashing is on.
 type Breach struct {
-	What    string
-	History string
+	Invariant string
+	History   string
 }
 
 // Error implements error.
-func (b *Breach) Error() string { return "invariant broken: " + b.What + "\n" + b.History }
+func (b *Breach) Error() string { return "invariant broken: " + b.Invariant + "\n" + b.History }
 
-// SetCrash makes every later breach panic, or only be logged.
-func SetCrash(on bool) { crash.Store(on) }
+// SetCrashOnBreach makes every later breach panic, or only be logged.
+func SetCrashOnBreach(on bool) { crash.Store(on) }
 
 // Breaches returns how many checks have failed in this process.
 func Breaches() int64 { return breaches.Load() }
@@ -47,6 +47,6 @@
 	text := fmt.Sprintln(history...)
 	event.Log(log, event.InvariantBroken, "invariant", what, "history", text)
 	if crash.Load() {
-		panic(&Breach{What: what, History: text})
+		panic(&Breach{Invariant: what, History: text})
 	}
 }
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -32,13 +32,13 @@
 	return d.CPUMilli <= free.CPUMilli && d.MemoryMB <= free.MemoryMB && d.Accelerators <= free.Accelerators
 }
 
-// Plus returns the sum of both demands.
-func (d Demand) Plus(o Demand) Demand {
+// Add returns the sum of both demands.
+func (d Demand) Add(o Demand) Demand {
 	return Demand{d.CPUMilli + o.CPUMilli, d.MemoryMB + o.MemoryMB, d.Accelerators + o.Accelerators}
 }
 
-// Minus returns d less o.
-func (d Demand) Minus(o Demand) Demand {
+// Sub returns d less o.
+func (d Demand) Sub(o Demand) Demand {
 	return Demand{d.CPUMilli - o.CPUMilli, d.MemoryMB - o.MemoryMB, d.Accelerators - o.Accelerators}
 }
 
@@ -65,8 +65,8 @@
 	Tasks       []Task `json:"tasks"`
 }
 
-// Check validates everything but the id. The error is a *fault.Fault that names the field.
-func (s *Submission) Check() error {
+// Validate validates everything but the id. The error is a *fault.Fault that names the field.
+func (s *Submission) Validate() error {
 	if len(s.Tasks) == 0 || len(s.Tasks) > MaxTasks {
 		return fault.Input(fault.BadTaskCount, "tasks", "a job has 1 to 290 tasks, got "+strconv.Itoa(len(s.Tasks)))
 	}
--- a/internal/leased/leased.go
+++ b/internal/leased/leased.go
@@ -56,7 +56,7 @@
 // closely as a busy one, because a job may come at any moment.
 func SessionOptions(c *session.Counters) session.Options {
 	return session.Options{
-		Heartbeat: heartbeat, Silent: silent, IdleHeartbeat: heartbeat, IdleSilent: silent,
+		HeartbeatInterval: heartbeat, SilenceTimeout: silent, IdleHeartbeatInterval: heartbeat, IdleSilenceTimeout: silent,
 		DialTimeout: dialTimeout, Counters: c,
 	}
 }
--- a/internal/owner/choose.go
+++ b/internal/owner/choose.go
@@ -45,7 +45,7 @@
 		Credits:     a.credits(),
 		InFlight:    len(a.attempts),
 		WaitMs:      a.gap.WaitMs(now),
-		Free:        a.target.Capacity.Minus(a.inUse),
+		Free:        a.target.Capacity.Sub(a.inUse),
 		Rack:        a.rack,
 		DataCentre:  a.dataCentre,
 		Local:       a.dataCentre == c.opts.DataCentre,
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -103,7 +103,7 @@
 		class: l.sub.Class, estimateMs: l.tasks[task].estimateMs, declaredMs: t.EstimateMs, demand: t.Demand}
 	a.attempts[seq] = at
 	a.order = append(a.order, seq)
-	a.inUse = a.inUse.Plus(t.Demand)
+	a.inUse = a.inUse.Add(t.Demand)
 	l.tasks[task].attempt = at
 	if !c.opts.Policy.push() {
 		a.spent++
--- a/internal/owner/settle.go
+++ b/internal/owner/settle.go
@@ -44,7 +44,7 @@
 // close ends the owner's bookkeeping of an attempt.
 func (c *Core) close(at *attempt) {
 	delete(at.agent.attempts, at.seq)
-	at.agent.inUse = at.agent.inUse.Minus(at.demand)
+	at.agent.inUse = at.agent.inUse.Sub(at.demand)
 	c.limiter.Finished(at.team)
 }
 
@@ -74,7 +74,7 @@
 		return health.Failed, true
 	case r.State == wire.Unknown:
 		return health.Lost, true
-	case r.Reason == wire.ReasonTarget, r.Reason == wire.ReasonLate:
+	case r.Reason == wire.ReasonTargetUnavailable, r.Reason == wire.ReasonDeadlinePast:
 		return health.Rejected, true
 	}
 	return health.Succeeded, false
@@ -88,7 +88,7 @@
 		c.succeed(now, l, at.task, r.Result)
 	case wire.NotRun:
 		c.counts.NotRun++
-		if r.Reason == wire.ReasonTarget || r.Reason == wire.ReasonLate {
+		if r.Reason == wire.ReasonTargetUnavailable || r.Reason == wire.ReasonDeadlinePast {
 			at.agent.avoidUntil = now.Add(avoidAfterRefusal)
 		}
 		c.putBack(l, at.task)
--- a/internal/runner/entrysession.go
+++ b/internal/runner/entrysession.go
@@ -53,7 +53,7 @@
 		return s.welcome(f.Welcome)
 	}
 	s.dialers.learn(f.Entries)
-	if f.Heartbeat() || f.Leased == nil {
+	if f.IsHeartbeat() || f.Leased == nil {
 		return nil
 	}
 	s.do(func(now time.Time, st *state) {
@@ -99,7 +99,7 @@
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
 		id := event.SessionClosed
-		if closed.Reason == session.ReasonSilent || closed.Reason == session.ReasonUnheard {
+		if closed.Reason == session.ReasonSilent || closed.Reason == session.ReasonUnacknowledged {
 			id = event.SessionSilent
 		}
 		event.Log(s.log, id, "conn", uint64(s.id), "entry", s.addr, "reason", string(closed.Reason), "error", closed.Error())
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -88,7 +88,7 @@
 	o           Options
 	log         logr.Logger
 	clock       clock.Clock
-	stall       *clock.Stall
+	stall       *clock.StallDetector
 	incarnation job.Incarnation
 	loop        *control.Loop[*state]
 	metrics     *counters
@@ -107,16 +107,16 @@
 func New(o Options, log logr.Logger) (*Runner, error) {
 	leased.LimitMemory(o.MemoryMB)
 	r := &Runner{
-		o: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStall(clock.StallLimit),
+		o: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold),
 		incarnation: job.NewIncarnation(), kick: make(chan struct{}, 1),
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	r.metrics = newCounters(func() int { return r.loop.Waiting() })
+	r.metrics = newCounters(func() int { return r.loop.QueuedCommands() })
 	r.dialers = newDialers(r)
 	r.loop = control.New(control.Options[*state]{
 		State: r.newState(), Clock: r.clock, MaxCommands: maxCommands, MaxBatch: maxBatch,
-		Tick: r.tick, Pace: pace, Flush: func(s *state) { s.table.Flush(r.clock.Now()) },
-		Turned: r.metrics.TurnObserver(log),
+		Tick: r.tick, TickInterval: pace, Flush: func(s *state) { s.table.Flush(r.clock.Now()) },
+		OnTurn: r.metrics.TurnObserver(log),
 	})
 	if err := r.listen(); err != nil {
 		r.servers.Close()
@@ -155,7 +155,7 @@
 // awake ends every session where the process stood still: the other sides have given
 // them up, and what they sent before must not be started now.
 func (r *Runner) awake(now time.Time, s *state) {
-	gap := r.stall.Look()
+	gap := r.stall.Check()
 	if gap == 0 {
 		return
 	}
@@ -266,7 +266,7 @@
 	r.stop()
 	r.dialers.end()
 	r.servers.Close()
-	r.loop.End()
+	r.loop.Stop()
 	event.Log(r.log, event.ProcessStopped, "clean", left == 0, "left", left, "after_ms", time.Since(began).Milliseconds())
 	return nil
 }
--- a/internal/runs/crash.go
+++ b/internal/runs/crash.go
@@ -25,13 +25,13 @@
 		return
 	}
 	t.silentTasks = t.activeTasks()
-	t.reportFate(wire.FateSilent, t.silentTasks)
+	t.reportFate(wire.FateUnresponsive, t.silentTasks)
 }
 
 // reportRecovered reports to every entry that the target answers again, with the tasks that were
 // active when it stopped answering.
 func (t *Table) reportRecovered() {
-	t.reportFate(wire.FateBack, t.silentTasks)
+	t.reportFate(wire.FateRecovered, t.silentTasks)
 	t.silentTasks = nil
 }
 
@@ -55,6 +55,6 @@
 	incarnation := t.target.Incarnation
 	event.Log(t.log, event.TargetCrashed, "target", incarnation.Name, "born_ms", incarnation.StartedMs, "fate", int(fate), "tasks", len(tasks), "first", tasks[0].Job)
 	for _, s := range t.sessions {
-		s.crashes = append(s.crashes, wire.Crash{Target: incarnation.Name, BornMs: incarnation.StartedMs, Fate: fate, Tasks: tasks})
+		s.crashes = append(s.crashes, wire.Crash{Target: incarnation.Name, StartedMs: incarnation.StartedMs, Fate: fate, Tasks: tasks})
 	}
 }
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -46,8 +46,8 @@
 	h.advance(1500 * time.Millisecond)
 	h.incarnation = Incarnation{Name: "t-1", StartedMs: 9000}
 	h.announce(1, false)
-	h.Expect(h.reportedCrashes(testConn)).To(HaveExactElements(HaveField("Fate", wire.FateSilent),
-		And(HaveField("Fate", wire.FateCrashed), HaveField("BornMs", int64(1000)), HaveField("Tasks", ConsistOf(wire.TaskRef{Job: "a"})))))
+	h.Expect(h.reportedCrashes(testConn)).To(HaveExactElements(HaveField("Fate", wire.FateUnresponsive),
+		And(HaveField("Fate", wire.FateCrashed), HaveField("StartedMs", int64(1000)), HaveField("Tasks", ConsistOf(wire.TaskRef{Job: "a"})))))
 }
 
 // Guards against blaming tasks for a crash of a target that was only unreachable.
@@ -57,7 +57,7 @@
 	h.answerStart(0, Accepted)
 	h.loseRenewals(6, 60*time.Millisecond, Unresponsive)
 	h.renewWith(h.target.starts[0].Run)
-	h.Expect(h.reportedCrashes(testConn)).To(HaveExactElements(HaveField("Fate", wire.FateSilent), HaveField("Fate", wire.FateBack)))
+	h.Expect(h.reportedCrashes(testConn)).To(HaveExactElements(HaveField("Fate", wire.FateUnresponsive), HaveField("Fate", wire.FateRecovered)))
 }
 
 // Guards against blaming tasks for the end of a target that announced its departure.
@@ -105,7 +105,7 @@
 		h.sendOrder(testConn, uint64(i+1), task("a", i), 7)
 	}
 	h.resize(3000)
-	h.Expect(h.outcomes(testConn)).To(HaveKeyWithValue(uint64(3), HaveField("Reason", wire.NotRunUnfit)))
+	h.Expect(h.outcomes(testConn)).To(HaveKeyWithValue(uint64(3), HaveField("Reason", wire.NotRunTooLarge)))
 }
 
 // Guards against entries that continue to use the previous capacity, and against new capacity
@@ -143,7 +143,7 @@
 	h.renewWith() // draws the token
 	h.renewWith()
 	h.Connect(h.now, testConn)
-	order := wire.Order{Seq: 1, Job: "a", Run: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 100, SlackMs: 100, GiveUpMs: 300, LimitMs: 3000, Unguarded: true}
+	order := wire.Order{Seq: 1, Job: "a", Run: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 100, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000, IgnoresCapacity: true}
 	h.Receive(h.now, testConn, &wire.LeasedToAgent{Orders: []wire.Order{order}})
 	h.Expect(h.target.starts).To(BeEmpty())
 	h.announce(1, false)
--- a/internal/runs/harness_test.go
+++ b/internal/runs/harness_test.go
@@ -68,7 +68,7 @@
 func (h *harness) sendOrder(conn ConnID, seq uint64, task Task, run uint64) {
 	h.Receive(h.now, conn, &wire.LeasedToAgent{Orders: []wire.Order{{
 		Seq: seq, Job: task.Job, Step: task.Step, Index: task.Index, Run: run, Demand: job.Demand{CPUMilli: 4000},
-		EstimateMs: 100, SlackMs: 100, GiveUpMs: 300, LimitMs: 3000,
+		EstimateMs: 100, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000,
 	}}})
 }
 
--- a/internal/runs/load.go
+++ b/internal/runs/load.go
@@ -42,7 +42,7 @@
 			load = t.currentLoad()
 		}
 		own := *load
-		own.Seen = s.lastSeq
+		own.LastSeq = s.lastSeq
 		own.Leaving = own.Leaving || s.retiring
 		f := &wire.LeasedToEntry{Load: &own, Outcomes: s.outcomes, Config: s.configNote, Evacuations: s.evacuations, Crashes: s.crashes}
 		if s.sendTarget {
@@ -105,7 +105,7 @@
 	if s == nil {
 		return
 	}
-	s.configNote = note.After(s.configNote)
+	s.configNote = note.MergeWith(s.configNote)
 }
 
 // QueueEvacuations queues evacuation statements for a session.
@@ -133,7 +133,7 @@
 		FailedRate: t.health.failedRate,
 		Leaving:    t.draining || t.target.Leaving,
 		Down:       !t.targetKnown || !t.reachable,
-		Shunned:    t.health.avoided(t.now),
+		Rejecting:  t.health.avoided(t.now),
 	}
 	if !t.targetKnown {
 		return l
@@ -146,7 +146,7 @@
 // predictWaits sets the predicted waits of a load report.
 func (t *Table) predictWaits(l *wire.Load) {
 	meanCPUMilli := t.collectTasks(l.Speed)
-	t.simulator.Predict(l.Free.CPUMilli, t.runningTasks, t.queuedTasks, meanCPUMilli, wire.Horizons[:], l.WaitMs[:])
+	t.simulator.Predict(l.Free.CPUMilli, t.runningTasks, t.queuedTasks, meanCPUMilli, wire.SlackHorizonsMs[:], l.WaitMs[:])
 }
 
 // collectTasks sets the running and queued tasks as input for the simulator and returns the mean
--- a/internal/runs/orders.go
+++ b/internal/runs/orders.go
@@ -58,8 +58,8 @@
 	if s == nil || f == nil {
 		return
 	}
-	if f.LoadEveryMs > 0 {
-		s.loadInterval = time.Duration(f.LoadEveryMs) * time.Millisecond
+	if f.LoadIntervalMs > 0 {
+		s.loadInterval = time.Duration(f.LoadIntervalMs) * time.Millisecond
 	}
 	for i := range f.Orders {
 		t.receiveOrder(s, &f.Orders[i])
@@ -84,8 +84,8 @@
 		order:         *order,
 		receivedAt:    t.now,
 		startBy:       t.now.Add(time.Duration(order.SlackMs) * time.Millisecond),
-		queueDeadline: t.now.Add(time.Duration(order.GiveUpMs) * time.Millisecond),
-		runDeadline:   t.now.Add(time.Duration(order.LimitMs) * time.Millisecond),
+		queueDeadline: t.now.Add(time.Duration(order.MaxWaitMs) * time.Millisecond),
+		runDeadline:   t.now.Add(time.Duration(order.TimeoutMs) * time.Millisecond),
 		wanted:        true,
 	}
 	if reason := t.refuseReason(s, r); reason != wire.NotRunNone {
@@ -118,7 +118,7 @@
 	case t.Evacuated():
 		return wire.NotRunEvacuated
 	case t.tasks[r.id.Task] != nil:
-		return wire.NotRunBusy // the other run may be of another owner
+		return wire.NotRunAlreadyRunning // the other run may be of another owner
 	}
 	return t.capacityRefuseReason(r)
 }
@@ -128,9 +128,9 @@
 func (t *Table) capacityRefuseReason(r *run) wire.NotRunReason {
 	switch {
 	case !r.order.Demand.Fits(t.target.Capacity):
-		return wire.NotRunUnfit
-	case r.order.Movable && t.predictWaitMs(r) > r.order.WaitMs+movableExtraWaitMs:
-		return wire.NotRunCrowded
+		return wire.NotRunTooLarge
+	case r.order.Movable && t.predictWaitMs(r) > r.order.ExpectedWaitMs+movableExtraWaitMs:
+		return wire.NotRunWaitTooLong
 	}
 	return wire.NotRunNone
 }
@@ -159,7 +159,7 @@
 	}
 	for i := 0; i < len(t.queue); {
 		r := t.queue[i]
-		if t.restored && r.order.Unguarded {
+		if t.restored && r.order.IgnoresCapacity {
 			i++ // the recorded capacity may be out of date, and the target doesn't enforce it
 			continue
 		}
@@ -181,11 +181,11 @@
 
 // freeCapacity returns the unused part of the capacity. A run that is being stopped uses its part
 // until the target has listed its end.
-func (t *Table) freeCapacity() job.Demand { return t.target.Capacity.Minus(t.inUse) }
+func (t *Table) freeCapacity() job.Demand { return t.target.Capacity.Sub(t.inUse) }
 
 func (t *Table) start(r *run) {
 	r.state = starting
-	t.inUse = t.inUse.Plus(r.order.Demand)
+	t.inUse = t.inUse.Add(r.order.Demand)
 	t.counts.Starts++
 	t.loadChanged = true
 	t.callStart(r)
@@ -214,12 +214,12 @@
 func (t *Table) enforceDeadlines() {
 	for _, r := range slices.Clone(t.queue) {
 		if t.now.After(r.queueDeadline) {
-			t.settleNotRun(r, wire.NotRunLate)
+			t.settleNotRun(r, wire.NotRunExpired)
 		}
 	}
 	for _, r := range t.runs {
 		if (r.state == starting || r.state == running) && t.now.After(r.runDeadline) {
-			t.stop(r, wire.NotRunLate)
+			t.stop(r, wire.NotRunExpired)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 // remove deletes an order from the table and releases its capacity.
 func (t *Table) remove(r *run) {
 	if r.state != queued {
-		t.inUse = t.inUse.Minus(r.order.Demand)
+		t.inUse = t.inUse.Sub(r.order.Demand)
 	}
 	delete(t.runs, r.id)
 	delete(t.tasks, r.id.Task)
--- a/internal/runs/report_test.go
+++ b/internal/runs/report_test.go
@@ -53,7 +53,7 @@
 func TestLoadReportsKeepTheRequestedInterval(t *testing.T) {
 	h := newHarness(t)
 	h.Connect(h.now, 2)
-	h.Receive(h.now, 2, &wire.LeasedToAgent{LoadEveryMs: 60})
+	h.Receive(h.now, 2, &wire.LeasedToAgent{LoadIntervalMs: 60})
 	h.Flush(h.now)
 	clear(h.outbox.sent)
 	frames := h.runTasks(1200 * time.Millisecond)
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -144,7 +144,7 @@
 	h.Connect(h.now, 2)
 	h.sendOrder(2, 1, task("a", 0), 8)
 	h.Expect(h.target.starts).To(HaveLen(1))
-	h.Expect(h.outcomes(2)).To(HaveKeyWithValue(uint64(1), And(HaveField("End", wire.EndNotRun), HaveField("Reason", wire.NotRunBusy))))
+	h.Expect(h.outcomes(2)).To(HaveKeyWithValue(uint64(1), And(HaveField("End", wire.EndNotRun), HaveField("Reason", wire.NotRunAlreadyRunning))))
 }
 
 // The agent's host is frozen. Orders that arrived before are read when it resumes, after their
@@ -266,7 +266,7 @@
 func TestLostRenewalTimesOutInTime(t *testing.T) {
 	h := newHarness(t)
 	h.Receive(h.now, testConn, &wire.LeasedToAgent{Orders: []wire.Order{{
-		Seq: 1, Job: "a", Run: 7, Demand: job.Demand{CPUMilli: 1000}, EstimateMs: 1500, SlackMs: 100, GiveUpMs: 300, LimitMs: 3000,
+		Seq: 1, Job: "a", Run: 7, Demand: job.Demand{CPUMilli: 1000}, EstimateMs: 1500, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000,
 	}}})
 	h.answerStart(0, Accepted)
 	call, _ := h.NextRenewal(h.now)
@@ -362,7 +362,7 @@
 	h.answerStart(0, Accepted)
 	h.answerStart(1, Accepted)
 	h.advance(250 * time.Millisecond)
-	h.Expect(h.currentLoad().Shunned).To(BeTrue())
+	h.Expect(h.currentLoad().Rejecting).To(BeTrue())
 	h.Expect(h.outcomes(testConn)).To(HaveKey(uint64(3)))
 }
 
@@ -375,7 +375,7 @@
 	h.answerStart(0, Accepted)
 	h.answerStart(1, Accepted)
 	h.advance(250 * time.Millisecond)
-	h.Expect(h.currentLoad().Shunned).To(BeFalse())
+	h.Expect(h.currentLoad().Rejecting).To(BeFalse())
 }
 
 // A fleet grows to fifty entries. With a report to each of them every 15 ms the runner would
@@ -410,17 +410,17 @@
 	h.Connect(h.now, 2)
 	h.sendOrder(testConn, 1, task("a", 0), 7)
 	h.sendOrder(testConn, 2, task("b", 0), 7) // two of four cores each: 2 of 10 are left
-	order := wire.Order{Seq: 1, Job: "c", Run: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 60, SlackMs: 90, GiveUpMs: 100,
-		LimitMs: 3000, Movable: true}
+	order := wire.Order{Seq: 1, Job: "c", Run: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 60, SlackMs: 90, MaxWaitMs: 100,
+		TimeoutMs: 3000, Movable: true}
 	h.Receive(h.now, 2, &wire.LeasedToAgent{Orders: []wire.Order{order}})
-	h.Expect(h.outcomes(2)).To(Equal(map[uint64]wire.RunOutcome{1: {Seq: 1, End: wire.EndNotRun, Reason: wire.NotRunCrowded}}))
+	h.Expect(h.outcomes(2)).To(Equal(map[uint64]wire.RunOutcome{1: {Seq: 1, End: wire.EndNotRun, Reason: wire.NotRunWaitTooLong}}))
 	frames := h.outbox.sent[2]
 	h.Expect(frames[len(frames)-1].Load.Free.CPUMilli).To(Equal(2000))
 
 	order.Seq, order.Movable = 2, false
 	h.Receive(h.now, 2, &wire.LeasedToAgent{Orders: []wire.Order{order}})
 	h.Expect(h.Waiting()).To(Equal(1))
-	order.Seq, order.Job, order.Movable, order.WaitMs = 3, "d", true, 200
+	order.Seq, order.Job, order.Movable, order.ExpectedWaitMs = 3, "d", true, 200
 	h.Receive(h.now, 2, &wire.LeasedToAgent{Orders: []wire.Order{order}})
 	h.Expect(h.Waiting()).To(Equal(2), "its entry expects the wait")
 }
--- a/internal/runs/target.go
+++ b/internal/runs/target.go
@@ -176,7 +176,7 @@
 
 // startRejected handles an answer that proves that this call has started nothing.
 func (t *Table) startRejected(r *run, answer Answer) {
-	reason := wire.NotRunTurned
+	reason := wire.NotRunRejected
 	switch answer {
 	case StaleRun:
 		reason = wire.NotRunStale
--- a/internal/scheduler/earliest/earliest.go
+++ b/internal/scheduler/earliest/earliest.go
@@ -168,5 +168,5 @@
 	if !t.Demand.Fits(c.Free) {
 		c.AddedWaitMs += c.runMs(&t, i) * float64(t.Demand.CPUMilli) / float64(max(c.Total.CPUMilli, 1))
 	}
-	c.Free = c.Free.Minus(t.Demand)
+	c.Free = c.Free.Sub(t.Demand)
 }
--- a/internal/session/close.go
+++ b/internal/session/close.go
@@ -14,14 +14,14 @@
 
 // Reasons for the end of a connection.
 const (
-	ReasonLocal    Reason = "local"    // this side closed it on purpose
-	ReasonPeer     Reason = "peer"     // the other side closed it, or its process ended
-	ReasonSilent   Reason = "silent"   // nothing was heard for too long
-	ReasonUnheard  Reason = "unheard"  // we hear the peer, but it has not heard us for too long
-	ReasonOverflow Reason = "overflow" // too much waited to be written
-	ReasonWrite    Reason = "write"    // a frame could not be written in time
-	ReasonFrame    Reason = "frame"    // a frame was malformed, too large or out of sequence
-	ReasonRejected Reason = "rejected" // the receiver of the frames refused one
+	ReasonLocal          Reason = "local"    // this side closed it on purpose
+	ReasonPeer           Reason = "peer"     // the other side closed it, or its process ended
+	ReasonSilent         Reason = "silent"   // nothing was heard for too long
+	ReasonUnacknowledged Reason = "unheard"  // we hear the peer, but it has not heard us for too long
+	ReasonOverflow       Reason = "overflow" // too much waited to be written
+	ReasonWrite          Reason = "write"    // a frame could not be written in time
+	ReasonFrame          Reason = "frame"    // a frame was malformed, too large or out of sequence
+	ReasonRejected       Reason = "rejected" // the receiver of the frames refused one
 )
 
 // CloseError is the end of a connection; Cause may be nil.
--- a/internal/session/conn.go
+++ b/internal/session/conn.go
@@ -23,8 +23,8 @@
 type sequenced interface {
 	Stamp(seq, heard uint64)
 	Sequence() (seq, heard uint64)
-	Heartbeat() bool
-	Weight() int
+	IsHeartbeat() bool
+	EstimatedBytes() int
 }
 
 // Conn is one connection that receives In and sends Out. One goroutine writes;
@@ -63,7 +63,7 @@
 	o = o.withDefaults()
 	dialer := websocket.Dialer{
 		NetDialContext:   (&net.Dialer{Timeout: o.DialTimeout}).DialContext,
-		HandshakeTimeout: o.Silent, WriteBufferSize: writeBufferBytes,
+		HandshakeTimeout: o.SilenceTimeout, WriteBufferSize: writeBufferBytes,
 	}
 	ws, response, err := dialer.DialContext(ctx, "ws://"+addr+Path, nil)
 	if err != nil {
@@ -85,7 +85,7 @@
 // caller must not touch it afterwards. When too much is queued already, the
 // connection is closed; after the end of the connection, frames are dropped.
 func (c *Conn[In, Out]) Send(f *Out) {
-	if !c.queue.push(f, any(f).(sequenced).Weight()) {
+	if !c.queue.push(f, any(f).(sequenced).EstimatedBytes()) {
 		c.end(ReasonOverflow, nil)
 	}
 }
@@ -124,7 +124,7 @@
 	if want := c.heard.Load() + 1; seq != want {
 		return nil, &SequenceError{Want: want, Got: seq}
 	}
-	woken, err := c.pulse.heard(time.Now(), ack, !frame.Heartbeat())
+	woken, err := c.pulse.heard(time.Now(), ack, !frame.IsHeartbeat())
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 // write sends what is queued, and a heartbeat whenever nothing went out for a
 // while, and ends the connection when it is silent.
 func (c *Conn[In, Out]) write() {
-	look := time.NewTimer(c.o.Heartbeat)
+	look := time.NewTimer(c.o.HeartbeatInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -170,14 +170,14 @@
 
 func (c *Conn[In, Out]) writeFrame(f *Out) error {
 	frame := any(f).(sequenced)
-	frame.Stamp(c.pulse.sending(time.Now(), !frame.Heartbeat()), c.heard.Load())
+	frame.Stamp(c.pulse.sending(time.Now(), !frame.IsHeartbeat()), c.heard.Load())
 	data, err := wire.Encode(f)
 	if err != nil {
 		return err
 	}
 	// A write blocks once the peer's and our kernel's buffers are full, which is
 	// how a cut shows under load before anything else does.
-	if err := c.ws.SetWriteDeadline(time.Now().Add(c.o.Silent)); err != nil {
+	if err := c.ws.SetWriteDeadline(time.Now().Add(c.o.SilenceTimeout)); err != nil {
 		return errors.Wrap(err, "set the write deadline")
 	}
 	if err := c.ws.WriteMessage(websocket.BinaryMessage, data); err != nil {
@@ -210,7 +210,7 @@
 
 func (c *Conn[In, Out]) end(reason Reason, cause error) {
 	c.closeOnce.Do(func() {
-		if reason == ReasonSilent || reason == ReasonUnheard {
+		if reason == ReasonSilent || reason == ReasonUnacknowledged {
 			c.o.Counters.ClosedSilent.Add(1)
 		}
 		c.err = &CloseError{Reason: reason, Cause: cause}
--- a/internal/session/options.go
+++ b/internal/session/options.go
@@ -34,35 +34,35 @@
 
 // Options tune a connection. A zero field takes the default.
 type Options struct {
-	Heartbeat     time.Duration // longest pause between two frames of ours; default wire.HeartbeatMs
-	Silent        time.Duration // silence that closes the connection; default wire.SilentMs
-	ActiveFor     time.Duration // the two above hold so long after a frame with content
-	IdleHeartbeat time.Duration // in place of Heartbeat, later
-	IdleSilent    time.Duration // in place of Silent, later
-	DialTimeout   time.Duration // for the connection alone, without the handshake; default Silent
-	MaxFrameBytes int           // largest frame taken; default wire.MaxFrameBytes
-	MaxQueueBytes int           // estimated bytes that may wait to be written
-	Counters      *Counters     // shared among connections; may be nil
+	HeartbeatInterval     time.Duration // longest pause between two frames of ours; default wire.HeartbeatIntervalMs
+	SilenceTimeout        time.Duration // silence that closes the connection; default wire.SilenceTimeoutMs
+	ActiveWindow          time.Duration // the two above hold so long after a frame with content
+	IdleHeartbeatInterval time.Duration // in place of Heartbeat, later
+	IdleSilenceTimeout    time.Duration // in place of Silent, later
+	DialTimeout           time.Duration // for the connection alone, without the handshake; default Silent
+	MaxFrameBytes         int           // largest frame taken; default wire.MaxFrameBytes
+	MaxQueueBytes         int           // estimated bytes that may wait to be written
+	Counters              *Counters     // shared among connections; may be nil
 }
 
 func (o Options) withDefaults() Options {
-	if o.Heartbeat == 0 {
-		o.Heartbeat = wire.HeartbeatMs * time.Millisecond
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = wire.HeartbeatIntervalMs * time.Millisecond
 	}
-	if o.Silent == 0 {
-		o.Silent = wire.SilentMs * time.Millisecond
+	if o.SilenceTimeout == 0 {
+		o.SilenceTimeout = wire.SilenceTimeoutMs * time.Millisecond
 	}
-	if o.ActiveFor == 0 {
-		o.ActiveFor = activeFor
+	if o.ActiveWindow == 0 {
+		o.ActiveWindow = activeFor
 	}
-	if o.IdleHeartbeat == 0 {
-		o.IdleHeartbeat = idleHeartbeat
+	if o.IdleHeartbeatInterval == 0 {
+		o.IdleHeartbeatInterval = idleHeartbeat
 	}
-	if o.IdleSilent == 0 {
-		o.IdleSilent = idleSilent
+	if o.IdleSilenceTimeout == 0 {
+		o.IdleSilenceTimeout = idleSilent
 	}
 	if o.DialTimeout == 0 {
-		o.DialTimeout = o.Silent
+		o.DialTimeout = o.SilenceTimeout
 	}
 	if o.MaxFrameBytes == 0 {
 		o.MaxFrameBytes = wire.MaxFrameBytes
--- a/internal/session/pulse.go
+++ b/internal/session/pulse.go
@@ -95,7 +95,7 @@
 	return woken
 }
 
-func (p *pulse) active(now time.Time) bool { return now.Sub(p.activeAt) < p.o.ActiveFor }
+func (p *pulse) active(now time.Time) bool { return now.Sub(p.activeAt) < p.o.ActiveWindow }
 
 // heartbeatDue reports whether an empty frame should go out. None does before the
 // first frame, which opens the session.
@@ -108,10 +108,10 @@
 // heartbeat is the longest pause between our frames. It stays short for a while
 // after the active time, since the peer's may end a little later.
 func (p *pulse) heartbeat(now time.Time) time.Duration {
-	if now.Sub(p.activeAt) < p.o.ActiveFor+p.o.IdleHeartbeat {
-		return p.o.Heartbeat
+	if now.Sub(p.activeAt) < p.o.ActiveWindow+p.o.IdleHeartbeatInterval {
+		return p.o.HeartbeatInterval
 	}
-	return p.o.IdleHeartbeat
+	return p.o.IdleHeartbeatInterval
 }
 
 // silence returns why the connection must be given up, or "".
@@ -126,19 +126,19 @@
 	// shows here, but nothing of ours gets there, and starts and answers would be
 	// lost for as long as the connection is kept.
 	if p.lastSent > p.acked && now.Sub(later(p.waitingSince, p.activeSince)) > limit {
-		return ReasonUnheard
+		return ReasonUnacknowledged
 	}
-	if p.contentSent > p.acked && now.Sub(p.contentSince) > p.o.Silent {
-		return ReasonUnheard // whether or not the connection is active
+	if p.contentSent > p.acked && now.Sub(p.contentSince) > p.o.SilenceTimeout {
+		return ReasonUnacknowledged // whether or not the connection is active
 	}
 	return ""
 }
 
 func (p *pulse) limit(now time.Time) time.Duration {
 	if p.active(now) {
-		return p.o.Silent
+		return p.o.SilenceTimeout
 	}
-	return p.o.IdleSilent
+	return p.o.IdleSilenceTimeout
 }
 
 // nextLook is how long the writer may sleep before it looks again.
@@ -147,7 +147,7 @@
 	defer p.mu.Unlock()
 	untilHeartbeat := p.wroteAt.Add(p.heartbeat(now)).Sub(now)
 	if p.lastSent == 0 {
-		untilHeartbeat = p.o.Heartbeat
+		untilHeartbeat = p.o.HeartbeatInterval
 	}
 	// Silence is looked for at each heartbeat at least, so it is found at most one
 	// heartbeat late.
--- a/internal/session/pulse_test.go
+++ b/internal/session/pulse_test.go
@@ -100,7 +100,7 @@
 	o := Options{}.withDefaults()
 	// One heartbeat may still acknowledge content from before the cut, and the writer
 	// looks once a heartbeat.
-	allowed := o.Silent + 2*o.Heartbeat + 2*simStep
+	allowed := o.SilenceTimeout + 2*o.HeartbeatInterval + 2*simStep
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(0)
 		a, b := newSim(now)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "session")
 }
 
-var quick = session.Options{Heartbeat: 20 * time.Millisecond, Silent: 200 * time.Millisecond}
+var quick = session.Options{HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond}
 
 // entrySide accepts agents and answers each frame that carries reports with their numbers as acks.
 type entrySide struct {
@@ -102,7 +102,7 @@
 		for i := uint64(1); i <= 500; i++ {
 			Eventually(acks).Should(Receive(Equal(i)))
 		}
-		Consistently(ended, 3*quick.Silent).ShouldNot(Receive())
+		Consistently(ended, 3*quick.SilenceTimeout).ShouldNot(Receive())
 		Expect(counters.Heartbeats.Load()).To(BeNumerically(">", 0))
 		Expect(counters.FramesIn.Load()).To(BeNumerically(">", 500))
 		Expect(counters.BytesOut.Load()).To(BeNumerically(">", 500*500/2*40))
@@ -121,7 +121,7 @@
 		_, _, ended := agentSide(r.Addr(), quick)
 		r.Cut(true, true)
 		// Each side may notice first that it hears nothing or that it is not heard.
-		noticed := WithTransform(reasonOf, Or(Equal(session.ReasonSilent), Equal(session.ReasonUnheard)))
+		noticed := WithTransform(reasonOf, Or(Equal(session.ReasonSilent), Equal(session.ReasonUnacknowledged)))
 		Eventually(ended, "5s").Should(Receive(noticed))
 		Eventually(entry.ended, "5s").Should(Receive(noticed))
 
@@ -135,32 +135,32 @@
 	// agent would otherwise hold results, or an entry starts, that never arrive.
 	// The deaf side is given all the time of the world here, to see the other act.
 	It("ends when the agent's frames vanish and the entry's arrive", func() {
-		entry := newEntrySide(session.Options{Heartbeat: quick.Heartbeat, Silent: time.Minute})
+		entry := newEntrySide(session.Options{HeartbeatInterval: quick.HeartbeatInterval, SilenceTimeout: time.Minute})
 		r := startRelay(entry.addr())
 		_, _, ended := agentSide(r.Addr(), quick)
 		r.Cut(true, false)
-		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnheard))))
+		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnacknowledged))))
 	})
 	It("ends when the entry's frames vanish and the agent's arrive", func() {
 		entry := newEntrySide(quick)
 		r := startRelay(entry.addr())
-		agentSide(r.Addr(), session.Options{Heartbeat: quick.Heartbeat, Silent: time.Minute})
+		agentSide(r.Addr(), session.Options{HeartbeatInterval: quick.HeartbeatInterval, SilenceTimeout: time.Minute})
 		Eventually(entry.conns).Should(Receive())
 		r.Cut(false, true)
-		Eventually(entry.ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnheard))))
+		Eventually(entry.ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnacknowledged))))
 	})
 
 	// A connection with nothing to do is watched loosely, and the path forgets it
 	// meanwhile. The first start sent over it then must not wait for the loose watch.
 	It("ends soon after the first frame that is lost on an idle connection", func() {
-		o := session.Options{Heartbeat: 20 * time.Millisecond, Silent: 200 * time.Millisecond, ActiveFor: 50 * time.Millisecond,
-			IdleHeartbeat: 50 * time.Millisecond, IdleSilent: time.Minute}
+		o := session.Options{HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond, ActiveWindow: 50 * time.Millisecond,
+			IdleHeartbeatInterval: 50 * time.Millisecond, IdleSilenceTimeout: time.Minute}
 		entry := newEntrySide(o)
 		r := startRelay(entry.addr())
 		conn, _, ended := agentSide(r.Addr(), o)
-		Consistently(ended, 2*o.Silent).ShouldNot(Receive())
+		Consistently(ended, 2*o.SilenceTimeout).ShouldNot(Receive())
 		r.Cut(true, true)
-		Consistently(ended, 2*o.Silent).ShouldNot(Receive())
+		Consistently(ended, 2*o.SilenceTimeout).ShouldNot(Receive())
 		conn.Send(&wire.ToEntry{Reports: []wire.Report{{Seq: 1}}})
 		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Not(Equal(session.ReasonLocal)))))
 	})
@@ -168,10 +168,10 @@
 	// A peer reads, but more slowly than frames are made for it. Without a bound
 	// the queue for this one peer would take the memory of the whole process.
 	It("ends when more waits than the queue may hold", func() {
-		entry := newEntrySide(session.Options{Silent: time.Minute})
+		entry := newEntrySide(session.Options{SilenceTimeout: time.Minute})
 		entry.gate = make(chan struct{})
 		DeferCleanup(func() { close(entry.gate) })
-		conn, _, ended := agentSide(entry.addr(), session.Options{Silent: time.Minute, MaxQueueBytes: 1 << 20})
+		conn, _, ended := agentSide(entry.addr(), session.Options{SilenceTimeout: time.Minute, MaxQueueBytes: 1 << 20})
 		for range 100 {
 			conn.Send(&wire.ToEntry{Reports: []wire.Report{{Result: make([]byte, 512<<10)}}})
 		}
@@ -194,7 +194,7 @@
 		Entry("with an unknown field", []byte("\xa3\x01\x01\x02\x00\x18\x63\x01")),
 		Entry("with a number that was left out", encoded(&wire.ToEntry{Seq: 1}), encoded(&wire.ToEntry{Seq: 3})),
 		Entry("with a number that came before", encoded(&wire.ToEntry{Seq: 1}), encoded(&wire.ToEntry{Seq: 1})),
-		Entry("that acknowledges what was never sent", encoded(&wire.ToEntry{Seq: 1, Heard: 5})),
+		Entry("that acknowledges what was never sent", encoded(&wire.ToEntry{Seq: 1, AckSeq: 5})),
 		Entry("that is too large", encoded(&wire.ToEntry{Seq: 1, Config: make([]byte, 2000)})),
 	)
 })
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -43,8 +43,8 @@
 	return c.counted >= c.limit && gap < 2*c.quantum()
 }
 
-// Watch gives up a call on which nothing moved for too long. It is safe for concurrent use.
-type Watch struct {
+// Watchdog gives up a call on which nothing moved for too long. It is safe for concurrent use.
+type Watchdog struct {
 	giveUp func(error)
 
 	mu      sync.Mutex
@@ -53,17 +53,17 @@
 	stopped bool
 }
 
-// NewWatch begins to watch. giveUp is called at most once, with ErrSilent, and must not
+// NewWatchdog begins to watch. giveUp is called at most once, with ErrSilent, and must not
 // call the watch; it fits a context.CancelCauseFunc.
-func NewWatch(limit time.Duration, giveUp func(error)) *Watch {
-	w := &Watch{giveUp: giveUp, counter: newCounter(time.Now(), limit)}
+func NewWatchdog(limit time.Duration, giveUp func(error)) *Watchdog {
+	w := &Watchdog{giveUp: giveUp, counter: newCounter(time.Now(), limit)}
 	w.mu.Lock() // look may run before the timer is assigned
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(w.counter.quantum(), w.look)
 	return w
 }
 
-func (w *Watch) look() {
+func (w *Watchdog) look() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
@@ -76,15 +76,15 @@
 	w.timer.Reset(w.counter.quantum())
 }
 
-// Moved notes that bytes moved.
-func (w *Watch) Moved() {
+// RecordProgress notes that bytes moved.
+func (w *Watchdog) RecordProgress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counter.heard(time.Now())
 }
 
 // Stop ends the watch.
-func (w *Watch) Stop() {
+func (w *Watchdog) Stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
@@ -97,7 +97,7 @@
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithCancelCause(ctx)
 		defer cancel(nil)
-		watch := NewWatch(limit, cancel)
+		watch := NewWatchdog(limit, cancel)
 		defer watch.Stop()
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil && errors.Is(context.Cause(ctx), ErrSilent) {
--- a/internal/soak/standstill.go
+++ b/internal/soak/standstill.go
@@ -59,17 +59,17 @@
 // it did not look at was not held by an entry.
 type ownStalls struct {
 	mu    sync.Mutex
-	stall *clock.Stall
+	stall *clock.StallDetector
 	sum   time.Duration
 }
 
-func newOwnStalls() *ownStalls { return &ownStalls{stall: clock.NewStall(ownStall)} }
+func newOwnStalls() *ownStalls { return &ownStalls{stall: clock.NewStallDetector(ownStall)} }
 
 // total returns the time up to now.
 func (o *ownStalls) total() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.sum += o.stall.Look()
+	o.sum += o.stall.Check()
 	return o.sum
 }
 
--- a/internal/wire/codec_fuzz_test.go
+++ b/internal/wire/codec_fuzz_test.go
@@ -14,7 +14,7 @@
 // has been written and read again.
 func FuzzDecode(f *testing.F) {
 	toEntry, err := wire.Encode(&wire.ToEntry{
-		Seq: 3, Heard: 2, Hello: &wire.Hello{Version: wire.Version, Incarnation: 9, Worker: "w"},
+		Seq: 3, AckSeq: 2, Hello: &wire.Hello{Version: wire.Version, Incarnation: 9, Worker: "w"},
 		Reports: []wire.Report{{Seq: 1, State: wire.Succeeded, Result: []byte("r"), RunMs: 1.5}},
 		Credits: &wire.Credits{Total: 8, Owners: 2},
 	})
@@ -22,7 +22,7 @@
 		f.Fatal(err)
 	}
 	toAgent, err := wire.Encode(&wire.ToAgent{
-		Seq: 4, Heard: 3, Starts: []wire.Start{{Seq: 1, Job: "j", Payload: []byte("p"), DeadlineMs: 1}},
+		Seq: 4, AckSeq: 3, Starts: []wire.Start{{Seq: 1, Job: "j", Payload: []byte("p"), DeadlineMs: 1}},
 		Acks: []uint64{1, 2}, Settled: 3, Demand: &wire.Demand{Waiting: 1},
 	})
 	if err != nil {
--- a/internal/wire/leased.go
+++ b/internal/wire/leased.go
@@ -22,22 +22,22 @@
 	// every earlier start of the task, by whichever owner.
 	Run        uint64     `cbor:"5,keyasint"`
 	Spec       string     `cbor:"-"`                    // what the target is told; see LeasedToAgent.Specs
-	SpecAt     int        `cbor:"6,keyasint,omitempty"` // its place in Specs, on the wire alone
+	SpecIndex  int        `cbor:"6,keyasint,omitempty"` // its place in Specs, on the wire alone
 	Demand     job.Demand `cbor:"7,keyasint"`
 	EstimateMs float64    `cbor:"8,keyasint"` // at speed 1
 	// SlackMs is how long the task may wait and still be in time; the task with the
 	// least goes first. Times are relative, because the clocks of hosts differ.
 	SlackMs int64 `cbor:"9,keyasint"`
-	// GiveUpMs is how long the task may wait before it comes back as not run.
-	GiveUpMs int64 `cbor:"10,keyasint"`
-	// LimitMs is when the caller stops waiting: the run is stopped then.
-	LimitMs int64 `cbor:"11,keyasint"`
+	// MaxWaitMs is how long the task may wait before it comes back as not run.
+	MaxWaitMs int64 `cbor:"10,keyasint"`
+	// TimeoutMs is when the caller stops waiting: the run is stopped then.
+	TimeoutMs int64 `cbor:"11,keyasint"`
 	// Movable says that the order is to come back at once where it would wait much longer
 	// than WaitMs, which is what the entry reckons with.
-	Movable bool    `cbor:"12,keyasint,omitempty"`
-	WaitMs  float64 `cbor:"13,keyasint,omitempty"`
-	// Unguarded says that the target starts whatever it is told to, beyond its capacity too.
-	Unguarded bool `cbor:"14,keyasint,omitempty"`
+	Movable        bool    `cbor:"12,keyasint,omitempty"`
+	ExpectedWaitMs float64 `cbor:"13,keyasint,omitempty"`
+	// IgnoresCapacity says that the target starts whatever it is told to, beyond its capacity too.
+	IgnoresCapacity bool `cbor:"14,keyasint,omitempty"`
 }
 
 // RunEnd says how an order ended.
@@ -56,18 +56,18 @@
 
 // Reasons for EndNotRun.
 const (
-	NotRunNone      NotRunReason = 0
-	NotRunRecalled  NotRunReason = 1
-	NotRunLate      NotRunReason = 2  // it waited longer than GiveUpMs
-	NotRunLeaving   NotRunReason = 3  // the target or the agent takes no new work
-	NotRunDown      NotRunReason = 4  // the target does not answer
-	NotRunTurned    NotRunReason = 5  // the target turned it away
-	NotRunStale     NotRunReason = 6  // its run number is below an earlier one
-	NotRunUnfit     NotRunReason = 7  // larger than the target
-	NotRunNoAnswer  NotRunReason = 8  // the start was not answered, and is fenced off
-	NotRunBusy      NotRunReason = 9  // another run of the task is not over at the agent
-	NotRunCrowded   NotRunReason = 10 // it was movable, and would have waited too long
-	NotRunEvacuated NotRunReason = 11 // its data centre is evacuated
+	NotRunNone           NotRunReason = 0
+	NotRunRecalled       NotRunReason = 1
+	NotRunExpired        NotRunReason = 2  // it waited longer than MaxWaitMs
+	NotRunLeaving        NotRunReason = 3  // the target or the agent takes no new work
+	NotRunDown           NotRunReason = 4  // the target does not answer
+	NotRunRejected       NotRunReason = 5  // the target turned it away
+	NotRunStale          NotRunReason = 6  // its run number is below an earlier one
+	NotRunTooLarge       NotRunReason = 7  // larger than the target
+	NotRunNoAnswer       NotRunReason = 8  // the start was not answered, and is fenced off
+	NotRunAlreadyRunning NotRunReason = 9  // another run of the task is not over at the agent
+	NotRunWaitTooLong    NotRunReason = 10 // it was movable, and would have waited too long
+	NotRunEvacuated      NotRunReason = 11 // its data centre is evacuated
 )
 
 // RunOutcome reports the end of an order.
@@ -89,36 +89,36 @@
 	DataCentre string `cbor:"5,keyasint,omitempty"`
 }
 
-// Horizons are the slacks, in milliseconds, for which an agent predicts waits: a
+// SlackHorizonsMs are the slacks, in milliseconds, for which an agent predicts waits: a
 // task with little slack overtakes those with more, so its wait is shorter. The
 // figures part tasks of tens, of hundreds and of more milliseconds.
-var Horizons = [...]float64{120, 400, 1 << 30}
+var SlackHorizonsMs = [...]float64{120, 400, 1 << 30}
 
 // Load is what an agent's target can take.
 type Load struct {
-	Seen       uint64                 `cbor:"1,keyasint"` // highest order of this session that is counted in
-	Free       job.Demand             `cbor:"2,keyasint"`
-	WaitMs     [len(Horizons)]float64 `cbor:"3,keyasint"` // predicted wait of a usual task, by Horizons
-	Speed      float64                `cbor:"4,keyasint"` // measured, 1 where a task takes its estimate
-	FailedRate float64                `cbor:"5,keyasint,omitempty"`
-	Leaving    bool                   `cbor:"6,keyasint,omitempty"`
-	Down       bool                   `cbor:"7,keyasint,omitempty"` // the target does not answer
-	Shunned    bool                   `cbor:"8,keyasint,omitempty"` // it turns starts away; what runs goes on
+	LastSeq    uint64                        `cbor:"1,keyasint"` // highest order of this session that is counted in
+	Free       job.Demand                    `cbor:"2,keyasint"`
+	WaitMs     [len(SlackHorizonsMs)]float64 `cbor:"3,keyasint"` // predicted wait of a usual task, by SlackHorizonsMs
+	Speed      float64                       `cbor:"4,keyasint"` // measured, 1 where a task takes its estimate
+	FailedRate float64                       `cbor:"5,keyasint,omitempty"`
+	Leaving    bool                          `cbor:"6,keyasint,omitempty"`
+	Down       bool                          `cbor:"7,keyasint,omitempty"` // the target does not answer
+	Rejecting  bool                          `cbor:"8,keyasint,omitempty"` // it turns starts away; what runs goes on
 }
 
 // ConfigNote passes the operator's configuration between processes. A process
 // announces the version it has; whoever lags asks for the body.
 type ConfigNote struct {
-	Version uint64 `cbor:"1,keyasint"` // in force at the sender
-	Want    bool   `cbor:"2,keyasint,omitempty"`
-	Body    []byte `cbor:"3,keyasint,omitempty"` // of Version, where it was asked for
+	Version  uint64 `cbor:"1,keyasint"` // in force at the sender
+	WantBody bool   `cbor:"2,keyasint,omitempty"`
+	Body     []byte `cbor:"3,keyasint,omitempty"` // of Version, where it was asked for
 }
 
-// After returns the note to send in place of an earlier one that was not sent yet and of
+// MergeWith returns the note to send in place of an earlier one that was not sent yet and of
 // this one, which never says less.
-func (n ConfigNote) After(held *ConfigNote) *ConfigNote {
+func (n ConfigNote) MergeWith(held *ConfigNote) *ConfigNote {
 	if held != nil {
-		n.Want = n.Want || held.Want
+		n.WantBody = n.WantBody || held.WantBody
 		if n.Body == nil && held.Version == n.Version {
 			n.Body = held.Body
 		}
@@ -138,18 +138,18 @@
 
 // Fates.
 const (
-	FateSilent  Fate = 1 // it does not answer
-	FateCrashed Fate = 2 // it is over, and nobody was told before
-	FateBack    Fate = 3 // it answers again after a silence
+	FateUnresponsive Fate = 1 // it does not answer
+	FateCrashed      Fate = 2 // it is over, and nobody was told before
+	FateRecovered    Fate = 3 // it answers again after a silence
 )
 
 // Crash tells what became of a life of a target. It goes to every entry: the caller of a job
 // that was lost asks again through any of them.
 type Crash struct {
-	Target string    `cbor:"1,keyasint"`
-	BornMs int64     `cbor:"2,keyasint"`
-	Fate   Fate      `cbor:"3,keyasint"`
-	Tasks  []TaskRef `cbor:"4,keyasint,omitempty"` // that were at work
+	Target    string    `cbor:"1,keyasint"`
+	StartedMs int64     `cbor:"2,keyasint"`
+	Fate      Fate      `cbor:"3,keyasint"`
+	Tasks     []TaskRef `cbor:"4,keyasint,omitempty"` // that were at work
 }
 
 // Evacuation is what a record of the platform's log says of one data centre: no task is to
@@ -177,9 +177,9 @@
 	Orders  []Order     `cbor:"1,keyasint,omitempty"`
 	Recalls []uint64    `cbor:"2,keyasint,omitempty"` // orders whose outcome no longer matters
 	Config  *ConfigNote `cbor:"3,keyasint,omitempty"`
-	// LoadEveryMs is the shortest time between two reports of the load that the entry
+	// LoadIntervalMs is the shortest time between two reports of the load that the entry
 	// wants from now on; 0: as before.
-	LoadEveryMs int64 `cbor:"4,keyasint,omitempty"`
+	LoadIntervalMs int64 `cbor:"4,keyasint,omitempty"`
 	// Specs are those of Orders, each once. All tasks of a job have the same one, of up to
 	// some kilobytes; repeated with each order, it fills the link of a small entry host, and
 	// the last task of a wide job leaves tens of milliseconds after the first.
@@ -212,7 +212,7 @@
 			at = len(l.Specs)
 			l.Specs = append(l.Specs, o.Spec)
 		}
-		o.SpecAt = at
+		o.SpecIndex = at
 	}
 }
 
@@ -223,10 +223,10 @@
 	}
 	for i := range l.Orders {
 		o := &l.Orders[i]
-		if o.SpecAt < 0 || o.SpecAt >= len(l.Specs) {
-			return &specError{o.Seq, o.SpecAt, len(l.Specs)}
+		if o.SpecIndex < 0 || o.SpecIndex >= len(l.Specs) {
+			return &specError{o.Seq, o.SpecIndex, len(l.Specs)}
 		}
-		o.Spec = l.Specs[o.SpecAt]
+		o.Spec = l.Specs[o.SpecIndex]
 	}
 	return nil
 }
--- a/internal/wire/sequence_test.go
+++ b/internal/wire/sequence_test.go
@@ -13,14 +13,14 @@
 // an empty frame and never reach its receiver.
 func TestEveryFieldButTheNumbersIsContent(t *testing.T) {
 	g := NewWithT(t)
-	for _, frame := range []interface{ Heartbeat() bool }{&wire.ToEntry{}, &wire.ToAgent{}} {
+	for _, frame := range []interface{ IsHeartbeat() bool }{&wire.ToEntry{}, &wire.ToAgent{}} {
 		fields := reflect.ValueOf(frame).Elem()
-		g.Expect(frame.Heartbeat()).To(BeTrue())
+		g.Expect(frame.IsHeartbeat()).To(BeTrue())
 		for i := range fields.NumField() {
 			name := fields.Type().Field(i).Name
 			fields.SetZero()
 			fill(fields.Field(i))
-			g.Expect(frame.Heartbeat()).To(Equal(name == "Seq" || name == "Heard"), "%T.%s", frame, name)
+			g.Expect(frame.IsHeartbeat()).To(Equal(name == "Seq" || name == "AckSeq"), "%T.%s", frame, name)
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,12 +13,12 @@
 const Version = 2
 
 // Timing of a session. An application heartbeat goes out at least every
-// HeartbeatMs in both directions; TCP alone notices a connection whose middle has
-// forgotten it only after minutes. SilentMs is several heartbeats, so that one
+// HeartbeatIntervalMs in both directions; TCP alone notices a connection whose middle has
+// forgotten it only after minutes. SilenceTimeoutMs is several heartbeats, so that one
 // lost scheduling slice of a busy host does not tear a session down.
 const (
-	HeartbeatMs = 250
-	SilentMs    = 1000
+	HeartbeatIntervalMs = 250
+	SilenceTimeoutMs    = 1000
 )
 
 // MaxFrameBytes caps a frame; a larger one closes the connection.
@@ -98,13 +98,13 @@
 
 // Reasons for NotRun.
 const (
-	ReasonNone      Reason = 0
-	ReasonCancelled Reason = 1
-	ReasonLate      Reason = 2 // its deadline was past
-	ReasonNeverSeen Reason = 3 // asked about before it came; refused from then on
-	ReasonLeaving   Reason = 4
-	ReasonTarget    Reason = 5 // the target could not be called or turned it away
-	ReasonStale     Reason = 6 // its number is below what the owner has settled
+	ReasonNone              Reason = 0
+	ReasonCancelled         Reason = 1
+	ReasonDeadlinePast      Reason = 2 // its deadline was past
+	ReasonNeverSeen         Reason = 3 // asked about before it came; refused from then on
+	ReasonLeaving           Reason = 4
+	ReasonTargetUnavailable Reason = 5 // the target could not be called or turned it away
+	ReasonStale             Reason = 6 // its number is below what the owner has settled
 )
 
 // Report tells the owner of an attempt's state. A final report is repeated on
@@ -137,7 +137,7 @@
 // ToEntry is a frame from an agent to an entry.
 type ToEntry struct {
 	Seq     uint64         `cbor:"1,keyasint"` // rises by one per frame
-	Heard   uint64         `cbor:"2,keyasint"` // highest Seq heard from the other side
+	AckSeq  uint64         `cbor:"2,keyasint"` // highest Seq heard from the other side
 	Hello   *Hello         `cbor:"3,keyasint,omitempty"`
 	Target  *Target        `cbor:"4,keyasint,omitempty"`
 	Reports []Report       `cbor:"5,keyasint,omitempty"`
@@ -151,7 +151,7 @@
 // ToAgent is a frame from an entry to an agent.
 type ToAgent struct {
 	Seq     uint64   `cbor:"1,keyasint"`
-	Heard   uint64   `cbor:"2,keyasint"`
+	AckSeq  uint64   `cbor:"2,keyasint"`
 	Welcome *Welcome `cbor:"3,keyasint,omitempty"`
 	Starts  []Start  `cbor:"4,keyasint,omitempty"`
 	Cancels []uint64 `cbor:"5,keyasint,omitempty"`
