--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon runs a program until a signal or the program itself ends it.
+// Package daemon runs an fx module as a process, with graceful shutdown on a signal or at the
+// request of the module.
 package daemon
 
 import (
@@ -9,9 +10,9 @@
 	"go.uber.org/fx"
 )
 
-// Run starts the module, waits for SIGTERM, SIGINT or a shutdown that the module
-// asks for, and stops it within its stop timeout. A failure to start or to stop is
-// printed and ends the process with status 1.
+// Run starts the module, waits for SIGTERM, SIGINT or a shutdown request of the module, and
+// stops it within its fx.StopTimeout. If starting or stopping fails, it prints the error to
+// stderr and exits with status 1.
 func Run(program string, module fx.Option) {
 	app := fx.New(fx.NopLogger, module)
 	if err := app.Start(context.Background()); err != nil {
@@ -25,6 +26,7 @@
 	}
 }
 
+// exit prints err to stderr and exits with status 1.
 func exit(program string, err error) {
 	fmt.Fprintln(os.Stderr, program+":", err)
 	os.Exit(1)
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -7,16 +7,17 @@
 	"go.uber.org/fx"
 )
 
-// Program is a daemon of type D as its package describes it to fx.
+// Program describes a daemon of type D: how to construct it and how to run it under fx.
 type Program[D any] struct {
 	Name        string
 	LogLevel    int
-	StopTimeout time.Duration // of the whole program, after a signal
+	StopTimeout time.Duration // limit of the graceful shutdown of the whole program
 	New         func(logr.Logger) (D, error)
 	Service     func(D) Service
 }
 
-// Module wires the daemon for fx, with a logger that outlives it.
+// Module returns the fx module that constructs and runs the daemon, with a logger that is
+// closed after the daemon has stopped.
 func (p Program[D]) Module() fx.Option {
 	return fx.Options(
 		fx.Provide(func(life fx.Lifecycle) logr.Logger { return NewLogger(life, p.Name, p.LogLevel) }, p.New),
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -10,23 +10,24 @@
 	"github.com/camphorrack/camphorrack/internal/logging"
 )
 
-// Service is a daemon as fx runs it.
+// Service is the lifecycle of a daemon under fx. Start must not block.
 type Service struct {
 	Start func()
-	// Done is closed when the service has finished by itself, such as after a drain
-	// that an operator asked for; the program then ends like after a signal.
+	// Done is closed when the service requests the end of the process, such as when an
+	// operator has requested a drain. The program then stops as after a signal. A nil
+	// channel is allowed: the service then runs until a signal.
 	Done <-chan struct{}
 	Stop func(context.Context) error
 }
 
-// Register ties the service to the program's life.
+// Register hooks the service into the lifecycle of the fx application.
 func (s Service) Register(life fx.Lifecycle, shutdown fx.Shutdowner) {
 	life.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			s.Start()
 			go func() {
 				<-s.Done
-				_ = shutdown.Shutdown() // fails only when the program is ending already
+				_ = shutdown.Shutdown() // fails only if the program is stopping already
 			}()
 			return nil
 		},
@@ -34,8 +35,9 @@
 	})
 }
 
-// NewLogger returns a program's logger to stdout. Made before the daemon, as fx does,
-// it is closed after the daemon has stopped.
+// NewLogger returns a buffered logger to stdout that is closed on stop. fx runs stop hooks in
+// reverse order and constructs the logger before the daemon, so the daemon can log until it
+// has stopped.
 func NewLogger(life fx.Lifecycle, program string, level int) logr.Logger {
 	buffer := logging.NewBuffer(os.Stdout)
 	life.Append(fx.StopHook(buffer.Close))
