--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a daemon's settings from flags and environment
-// variables, checks them all and reports every fault at once, so that an operator
-// mends a broken start in one go.
+// Package settings reads a program's settings from flags and environment variables, validates
+// them, and reports all faults together, so that an operator can correct a failed start
+// without one restart per fault.
 package settings
 
 import (
@@ -16,32 +16,34 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// EnvPrefix starts the name of each environment variable: the flag "log-level"
-// is also CAMPHORRACK_LOG_LEVEL. A flag on the command line wins.
+// EnvPrefix is the prefix of the environment variables: CAMPHORRACK_LOG_LEVEL sets the flag
+// "log-level". A flag on the command line takes precedence.
 const EnvPrefix = "CAMPHORRACK_"
 
-const masked = "(secret)"
+const maskedSecret = "(secret)"
 
-// ErrSettingsPrinted is returned when -print-settings asked for the settings only.
+// ErrSettingsPrinted is returned by Set.Load after it has printed the settings because of
+// -print-settings. The program should exit with success.
 var ErrSettingsPrinted = errors.New("settings printed")
 
-// Set is the settings of one program.
+// Set is the flag set of one program, with environment variables, validation and secrets.
 type Set struct {
 	*flag.FlagSet
 	out     io.Writer
 	secrets map[string]bool
 	checks  []check
 	print   *bool
-	// arguments takes what is not a flag; nil where there may be none.
-	arguments *[]string
+	// positional collects the positional arguments; nil if the program accepts none.
+	positional *[]string
 }
 
+// check validates one setting; problem returns an error text, or "" if the value is valid.
 type check struct {
-	flag string
-	run  func() string
+	flag    string
+	problem func() string
 }
 
-// New returns an empty set that prints to out.
+// New returns a set that defines only -print-settings. Help and settings are written to out.
 func New(program string, out io.Writer) *Set {
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
@@ -50,26 +52,28 @@
 	return s
 }
 
-// Secret defines a string setting whose value is never printed.
+// Secret defines a string setting whose value is kept out of printed settings and of faults.
 func (s *Set) Secret(name, usage string) *string {
 	s.secrets[name] = true
 	return s.String(name, "", usage)
 }
 
-// AllowArguments lets the program take arguments that are no flags, in any place.
+// AllowArguments makes Load accept positional arguments, before, between and after flags, and
+// returns the slice that it appends them to.
 func (s *Set) AllowArguments() *[]string {
-	s.arguments = new([]string)
-	return s.arguments
+	s.positional = new([]string)
+	return s.positional
 }
 
-// AddCheck adds a condition on one setting; run returns what is wrong, or "".
-func (s *Set) AddCheck(name string, run func() string) {
-	s.checks = append(s.checks, check{name, run})
+// AddCheck registers a validation of the flag name for Load. The function problem returns the
+// detail of a fault, or "" if the value is valid.
+func (s *Set) AddCheck(name string, problem func() string) {
+	s.checks = append(s.checks, check{name, problem})
 }
 
-// Load reads the environment and then the arguments, and runs every check. The
-// error joins a *fault.Fault for each thing that is wrong, or is ErrSettingsPrinted or
-// flag.ErrHelp.
+// Load reads the environment, then the arguments, and runs all checks. The error joins one
+// *fault.Fault per invalid variable, argument or setting; it is flag.ErrHelp after printing
+// help and ErrSettingsPrinted after printing the settings.
 func (s *Set) Load(args []string, getenv func(string) (string, bool)) error {
 	faults := s.readEnv(getenv)
 	argFaults, help := s.readArgs(args)
@@ -81,8 +85,8 @@
 	}
 	faults = append(faults, argFaults...)
 	for _, c := range s.checks {
-		if wrong := c.run(); wrong != "" {
-			faults = append(faults, fault.Input(fault.BadSetting, c.flag, wrong))
+		if problem := c.problem(); problem != "" {
+			faults = append(faults, fault.Input(fault.BadSetting, c.flag, problem))
 		}
 	}
 	if len(faults) > 0 {
@@ -95,6 +99,7 @@
 	return nil
 }
 
+// readEnv sets flags from environment variables and returns a *fault.Fault per invalid value.
 func (s *Set) readEnv(getenv func(string) (string, bool)) []error {
 	var faults []error
 	s.VisitAll(func(f *flag.Flag) {
@@ -104,14 +109,14 @@
 			return
 		}
 		if err := s.FlagSet.Set(f.Name, value); err != nil {
-			faults = append(faults, fault.Input(fault.BadSetting, name, s.hide(f.Name, err.Error())))
+			faults = append(faults, fault.Input(fault.BadSetting, name, s.redact(f.Name, err.Error())))
 		}
 	})
 	return faults
 }
 
-// readArgs goes on after a faulty argument, to find the others too, and after an
-// argument that is no flag, because flags may follow it.
+// readArgs parses the command line. It continues after an invalid argument, to report the
+// others too, and after a positional argument, because flags may follow.
 func (s *Set) readArgs(args []string) (faults []error, help bool) {
 	for {
 		err := s.Parse(args)
@@ -126,40 +131,42 @@
 		if len(args) == 0 {
 			return faults, false
 		}
-		if s.arguments == nil {
+		if s.positional == nil {
 			faults = append(faults, fault.Newf(fault.BadSetting, "unexpected argument %q", args[0]))
 		} else {
-			*s.arguments = append(*s.arguments, args[0])
+			*s.positional = append(*s.positional, args[0])
 		}
 		args = args[1:]
 	}
 }
 
-func (s *Set) hide(name, text string) string {
+// redact replaces an error text that may quote the value of a secret.
+func (s *Set) redact(name, text string) string {
 	if s.secrets[name] {
 		return "bad value"
 	}
 	return text
 }
 
-// Print writes every setting in force, with secrets masked.
+// Print writes all settings as name=value lines, with secrets masked.
 func (s *Set) Print() {
 	s.VisitAll(func(f *flag.Flag) {
 		value := f.Value.String()
 		if s.secrets[f.Name] && value != "" {
-			value = masked
+			value = maskedSecret
 		}
 		fmt.Fprintf(s.out, "%s=%s\n", f.Name, value)
 	})
 }
 
-// EnvName returns the environment variable of a flag.
+// EnvName returns the name of the environment variable that sets a flag.
 func EnvName(flagName string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
-// LoadOrExit is Load with the process's own arguments and environment. It prints
-// what is wrong and exits: 0 after help or -print-settings, 2 on a fault.
+// LoadOrExit calls Load with the arguments and environment of the process. It exits with
+// status 0 after help or -print-settings; on faults it prints them to stderr and exits with
+// status 2.
 func (s *Set) LoadOrExit() {
 	err := s.Load(os.Args[1:], os.LookupEnv)
 	switch {
@@ -172,21 +179,22 @@
 	os.Exit(2)
 }
 
-// MessageIf returns what is wrong, or "", for Check.
-func MessageIf(wrong bool, text string) string {
-	if wrong {
-		return text
+// MessageIf returns message if condition holds, and "" otherwise. It shortens the functions
+// passed to AddCheck.
+func MessageIf(condition bool, message string) string {
+	if condition {
+		return message
 	}
 	return ""
 }
 
-// CheckAddr returns what is wrong with an address of the form ip:port, or "".
+// CheckAddr returns "" if addr has the form ip:port, and an error text for AddCheck otherwise.
 func CheckAddr(addr string) string {
 	_, err := netip.ParseAddrPort(addr)
 	return MessageIf(err != nil, "takes ip:port, got "+addr)
 }
 
-// SplitList returns the parts of a comma-separated setting; empty ones are left out.
+// SplitList returns the trimmed, non-empty elements of a comma-separated setting.
 func SplitList(text string) []string {
 	var parts []string
 	for _, part := range strings.Split(text, ",") {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -44,7 +44,7 @@
 		})
 	})
 
-	It("takes flags before environment variables before defaults", func() {
+	It("prefers flags to environment variables and these to defaults", func() {
 		err := set.Load([]string{"-size", "3"}, env(map[string]string{"CAMPHORRACK_SIZE": "2", "CAMPHORRACK_LONG_PAUSE": "5s"}))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(*size).To(Equal(3))
@@ -52,8 +52,8 @@
 		Expect(*key).To(BeEmpty())
 	})
 
-	// An operator mistypes several settings of one start. With one fault a start,
-	// each attempt at mending would cost another restart of the daemon.
+	// With several invalid settings, reporting only the first would cost an operator one
+	// restart of the daemon per fault.
 	It("reports every fault at once", func() {
 		err := set.Load([]string{"-size", "0", "-nonsense", "-long-pause=x", "stray"}, env(map[string]string{"CAMPHORRACK_SIZE": "many"}))
 		Expect(err).To(MatchError(And(
@@ -65,8 +65,8 @@
 		)))
 	})
 
-	// The settings in force are printed into a ticket, and the fleet's secret
-	// must not travel with them.
+	// Operators paste the output of -print-settings into tickets, which must not leak the
+	// secret of the fleet.
 	It("never prints a secret", func() {
 		err := set.Load([]string{"-print-settings"}, env(map[string]string{"CAMPHORRACK_KEY": "hunter2"}))
 		Expect(errors.Is(err, ErrSettingsPrinted)).To(BeTrue())
@@ -74,7 +74,7 @@
 		Expect(out.String()).NotTo(ContainSubstring("hunter2"))
 	})
 
-	It("takes arguments between flags where the program has any", func() {
+	It("accepts positional arguments between flags where the program allows them", func() {
 		arguments := set.AllowArguments()
 		Expect(set.Load([]string{"a", "-size", "4", "b"}, env(nil))).To(Succeed())
 		Expect(*arguments).To(Equal([]string{"a", "b"}))
