--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,18 +20,19 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second
-	drainPoll     = 20 * time.Millisecond
-	// closeTimeout bounds the end of the last HTTP requests.
+	headerTimeout     = 5 * time.Second // limit for reading the header of an HTTP request
+	drainPollInterval = 20 * time.Millisecond
+	// closeTimeout limits how long a shutdown waits for the last HTTP requests.
 	closeTimeout = 2 * time.Second
 )
 
-// ErrDrainTimeout is a shutdown that cut off tasks or left reports undelivered.
+// ErrDrainTimeout is returned by Agent.Stop when the drain timeout expired while tasks were
+// running or reports were undelivered.
 var ErrDrainTimeout = errors.New("the drain timeout was over before every task had ended and was reported")
 
-// Agent is the daemon.
+// Agent is the daemon: an HTTP server for the target and operators, and sessions with entries.
 type Agent struct {
-	o           Options
+	options     Options
 	incarnation job.Incarnation
 	log         logr.Logger
 	clock       clock.Clock
@@ -40,94 +41,95 @@
 	dialers     *dialers
 	holder      *config.Holder
 	fanOut      *config.FanOut
-	stopConf    context.CancelFunc
+	stopFanOut  context.CancelFunc
 	listener    net.Listener
 	server      *http.Server
-	unused      *httpconn.UnusedConns
-
-	lastConn  atomic.Uint64
-	open      atomic.Int64 // sessions that are welcomed
-	draining  atomic.Bool
-	drainOnce sync.Once
-	endOnce   sync.Once
-	endAsked  chan struct{} // closed when the process should end
+	unusedConns *httpconn.UnusedConns
+
+	lastConnID        atomic.Uint64
+	openSessions      atomic.Int64 // sessions whose welcome has been accepted
+	draining          atomic.Bool
+	drainOnce         sync.Once
+	shutdownOnce      sync.Once
+	shutdownRequested chan struct{} // closed when the process should stop
 }
 
-// New returns a daemon that is bound to its address but does not serve yet.
+// New returns a daemon that listens on its address but does not serve yet.
 func New(o Options, log logr.Logger) (*Agent, error) {
 	invariant.SetCrashOnBreach(o.CrashOnBreach)
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", o.Listen)
 	}
-	a := &Agent{o: o, log: log, clock: clock.NewAnchored(), listener: listener, endAsked: make(chan struct{})}
+	a := &Agent{options: o, log: log, clock: clock.NewAnchored(), listener: listener, shutdownRequested: make(chan struct{})}
 	a.metrics = newCounters(func() int { return a.control.QueuedCommands() })
 	s := newState(o, log, a.metrics)
 	s.runTask = a.runTask
 	a.incarnation = s.incarnation
 	a.control = newControl(s, a.clock, a.metrics.TurnObserver(log))
 	a.dialers = newDialers(a)
-	a.metrics.members(a.dialers)
+	a.metrics.registerMemberGauges(a.dialers)
 	a.holder = config.NewHolder(config.Where{DataCentre: o.DataCentre, Rack: o.Rack}, a.clock, log)
 	a.fanOut = config.NewFanOut(a.holder)
 	a.metrics.RegisterConfig(a.holder)
-	a.unused = httpconn.NewUnusedConns()
-	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout, ConnState: a.unused.Track}
+	a.unusedConns = httpconn.NewUnusedConns()
+	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout, ConnState: a.unusedConns.Track}
 	return a, nil
 }
 
-// Addr returns the bound address.
+// Addr returns the address that the agent listens on, as ip:port.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Start serves and dials until Stop.
+// Start begins to serve HTTP and to dial entries, and returns at once. Stop ends both.
 func (a *Agent) Start() {
 	go a.control.Run()
 	go a.serve()
 	ctx, stop := context.WithCancel(context.Background())
-	a.stopConf = stop
+	a.stopFanOut = stop
 	go a.fanOut.Run(ctx)
-	for _, addr := range a.o.entries() {
-		a.dialers.configured(addr)
+	for _, addr := range a.options.entries() {
+		a.dialers.addConfigured(addr)
 	}
-	a.dialers.done.Go(a.dialers.run)
-	event.Log(a.log, event.ProcessStarted, "addr", a.Addr(), "worker", a.o.Worker,
-		"incarnation", a.incarnation.String(), "data_centre", a.o.DataCentre, "rack", a.o.Rack, "policy", a.o.Policy)
+	a.dialers.goroutines.Go(a.dialers.run)
+	event.Log(a.log, event.ProcessStarted, "addr", a.Addr(), "worker", a.options.Worker,
+		"incarnation", a.incarnation.String(), "data_centre", a.options.DataCentre, "rack", a.options.Rack, "policy", a.options.Policy)
 }
 
 func (a *Agent) serve() {
 	if err := a.server.Serve(httpconn.NewLoggingListener(a.listener, a.log)); !errors.Is(err, http.ErrServerClosed) {
 		event.Log(a.log, event.ProcessStopping, "error", err.Error())
-		a.askEnd() // without announcements there is no target
+		a.requestShutdown() // without the server the target cannot announce itself
 	}
 }
 
-// ShutdownRequested is closed when an operator asked for a drain, or when serving failed:
-// the process should stop the agent then, as after a signal.
-func (a *Agent) ShutdownRequested() <-chan struct{} { return a.endAsked }
+// ShutdownRequested returns a channel that is closed when an operator has requested a drain or
+// the HTTP server has failed. The process should then call Stop, as after a signal.
+func (a *Agent) ShutdownRequested() <-chan struct{} { return a.shutdownRequested }
 
-func (a *Agent) askEnd() { a.endOnce.Do(func() { close(a.endAsked) }) }
+func (a *Agent) requestShutdown() { a.shutdownOnce.Do(func() { close(a.shutdownRequested) }) }
 
-// beginDrain takes no new work from now on.
+// beginDrain stops accepting new tasks, for good.
 func (a *Agent) beginDrain() {
 	a.drainOnce.Do(func() {
 		a.draining.Store(true)
 		event.Log(a.log, event.DrainStarted)
-		// The error means that the process ends anyway.
+		// The error, control.ErrStopped, means that the process is stopping anyway.
 		_ = a.control.Push(func(now time.Time, s *state) { s.table.Drain(now) })
 	})
 }
 
-// Stop drains and ends the daemon: nothing new begins, what runs is finished and
-// reported. The error is ErrDrainTimeout, or of ctx, when that took too long.
+// Stop drains and ends the daemon: it accepts no new tasks, and waits until running tasks have
+// finished and their reports are acknowledged. The error is ErrDrainTimeout or that of ctx
+// when this took too long, or a failure to close the HTTP server.
 func (a *Agent) Stop(ctx context.Context) error {
-	event.Log(a.log, event.ProcessStopping, "drain_timeout", a.o.DrainTimeout.String())
+	event.Log(a.log, event.ProcessStopping, "drain_timeout", a.options.DrainTimeout.String())
 	a.beginDrain()
 	err := a.waitIdle(ctx)
-	a.dialers.end()
-	a.stopConf()
+	a.dialers.shutdown()
+	a.stopFanOut()
 	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	a.server.RegisterOnShutdown(a.unused.Close) // runs once the listener is closed
+	a.server.RegisterOnShutdown(a.unusedConns.Close) // runs after the listener is closed
 	if closeErr := a.server.Shutdown(closing); err == nil && closeErr != nil {
 		err = errors.Wrap(closeErr, "close HTTP connections")
 	}
@@ -136,9 +138,10 @@
 	return err
 }
 
+// waitIdle polls the attempt table until nothing runs or awaits acknowledgement.
 func (a *Agent) waitIdle(ctx context.Context) error {
-	timeout := time.After(a.o.DrainTimeout)
-	poll := time.NewTicker(drainPoll)
+	timeout := time.After(a.options.DrainTimeout)
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	for {
 		idle := false
--- a/internal/agent/announcements.go
+++ b/internal/agent/announcements.go
@@ -8,40 +8,42 @@
 	"github.com/camphorrack/camphorrack/internal/targetapi"
 )
 
-// announce takes an announcement that was checked. The error is a *fault.Fault.
-func (s *state) announce(now time.Time, a *targetapi.Announcement) error {
-	// Two targets that were configured with the same agent would take turns in
-	// being "the" target, and slots would be granted for one and spent on the other.
-	if !s.silent && s.announced.Name != a.Name {
-		return fault.Input(fault.BadField, "name", "this agent serves target "+s.announced.Name)
+// applyAnnouncement updates the target from a validated announcement. The error is a
+// *fault.Fault.
+func (s *state) applyAnnouncement(now time.Time, a *targetapi.Announcement) error {
+	// With two targets configured for the same agent, announcements would alternate between
+	// them, and slots would be granted for one and used on the other.
+	if !s.targetDown && s.announcement.Name != a.Name {
+		return fault.Input(fault.BadField, "name", "this agent serves target "+s.announcement.Name)
 	}
-	before := s.announced
-	wasSilent := s.silent
-	s.announced, s.announceAt, s.silent = *a, now, false
-	if s.caller == nil || before.Address != a.Address || before.Connections != a.Connections {
-		s.replaceCaller(a)
+	before := s.announcement
+	wasDown := s.targetDown
+	s.announcement, s.announcedAt, s.targetDown = *a, now, false
+	if s.client == nil || before.Address != a.Address || before.Connections != a.Connections {
+		s.replaceClient(a)
 	}
 	switch {
-	case a.Leaving && (wasSilent || !before.Leaving):
+	case a.Leaving && (wasDown || !before.Leaving):
 		event.Log(s.log, event.TargetLeaving, "target", a.Name)
-	case wasSilent:
+	case wasDown:
 		event.Log(s.log, event.TargetAnnounced, "target", a.Name, "address", a.Address, "slots", a.Slots, "speed", a.Speed)
 	}
-	s.tellTarget(now)
+	s.updateTarget(now)
 	return nil
 }
 
-// replaceCaller makes new calls go to a new address or under a new cap; calls
-// under way end on the old connections.
-func (s *state) replaceCaller(a *targetapi.Announcement) {
-	if s.caller != nil {
-		s.caller.close()
+// replaceClient directs new calls to the announced address with the announced connection
+// limit. Calls in progress finish on the old connections.
+func (s *state) replaceClient(a *targetapi.Announcement) {
+	if s.client != nil {
+		s.client.close()
 	}
-	s.caller = newCaller(a.Address, a.Connections)
+	s.client = newTargetClient(a.Address, a.Connections)
 }
 
-func (s *state) tellTarget(now time.Time) {
-	t := s.announced.WireTarget()
-	t.Down = s.silent
+// updateTarget passes the target, which may be down, to the attempt table.
+func (s *state) updateTarget(now time.Time) {
+	t := s.announcement.WireTarget()
+	t.Down = s.targetDown
 	s.table.SetTarget(now, t)
 }
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -16,36 +16,38 @@
 	"github.com/camphorrack/camphorrack/internal/targetapi"
 )
 
-// maxAnnouncementBytes caps the body of an announcement.
+// maxAnnouncementBytes limits the body of an announcement.
 const maxAnnouncementBytes = 16 << 10
 
 func init() { gin.SetMode(gin.ReleaseMode) }
 
-// handler returns the routes for the target and for operators.
+// handler returns the HTTP routes for the target and for operators.
 func (a *Agent) handler() http.Handler {
 	g := gin.New()
 	g.HandleMethodNotAllowed = true
-	g.NoRoute(unknown)
-	g.NoMethod(unknown)
-	g.POST(targetapi.AnnouncePath, a.takeAnnouncement)
-	g.GET("/v1/status", a.giveStatus)
-	g.GET(config.Path, a.giveConfig)
-	g.POST("/v1/drain", a.takeDrain)
-	g.GET("/healthz", a.giveHealth)
-	g.GET("/metrics", a.giveMetrics)
+	g.NoRoute(unknownPath)
+	g.NoMethod(unknownPath)
+	g.POST(targetapi.AnnouncePath, a.handleAnnounce)
+	g.GET("/v1/status", a.handleStatus)
+	g.GET(config.Path, a.handleConfig)
+	g.POST("/v1/drain", a.handleDrain)
+	g.GET("/healthz", a.handleHealth)
+	g.GET("/metrics", a.handleMetrics)
 	return g
 }
 
-func unknown(g *gin.Context) {
-	refuse(g, fault.Input(fault.UnknownResource, "path", "no such path or method"))
+func unknownPath(g *gin.Context) {
+	writeFault(g, fault.Input(fault.UnknownResource, "path", "no such path or method"))
 }
 
-// failure is the body of a refusal, as entries send it.
+// failure is the JSON body of an error response. Entries use the same format.
 type failure struct {
 	Failure *fault.Fault `json:"failure"`
 }
 
-func refuse(g *gin.Context, err error) {
+// writeFault responds with the fault in err and its HTTP status. Other errors become the fault
+// Undecided.
+func writeFault(g *gin.Context, err error) {
 	var f *fault.Fault
 	if !errors.As(err, &f) {
 		f = fault.New(fault.Undecided, err.Error())
@@ -53,22 +55,22 @@
 	g.JSON(f.Code.Status(), failure{f})
 }
 
-func (a *Agent) takeAnnouncement(g *gin.Context) {
+func (a *Agent) handleAnnounce(g *gin.Context) {
 	announcement, err := decodeAnnouncement(g.Request.Body)
 	if err != nil {
-		refuse(g, err)
+		writeFault(g, err)
 		return
 	}
 	var refusal error
-	err = a.control.do(func(now time.Time, s *state) { refusal = s.announce(now, announcement) })
+	err = a.control.do(func(now time.Time, s *state) { refusal = s.applyAnnouncement(now, announcement) })
 	if err = errors.CombineErrors(refusal, err); err != nil {
-		refuse(g, err)
+		writeFault(g, err)
 		return
 	}
 	g.JSON(http.StatusOK, struct{}{})
 }
 
-// decodeAnnouncement reads and checks an announcement. The error is a *fault.Fault.
+// decodeAnnouncement parses and validates an announcement. The error is a *fault.Fault.
 func decodeAnnouncement(body io.Reader) (*targetapi.Announcement, error) {
 	limited := &io.LimitedReader{R: body, N: maxAnnouncementBytes}
 	decoder := json.NewDecoder(limited)
@@ -86,13 +88,13 @@
 	return a, a.Validate()
 }
 
-func (a *Agent) takeDrain(g *gin.Context) {
+func (a *Agent) handleDrain(g *gin.Context) {
 	a.beginDrain()
-	a.askEnd()
+	a.requestShutdown()
 	g.JSON(http.StatusOK, struct{}{})
 }
 
-func (a *Agent) giveHealth(g *gin.Context) {
+func (a *Agent) handleHealth(g *gin.Context) {
 	if a.draining.Load() {
 		g.JSON(http.StatusServiceUnavailable, failure{fault.New(fault.Draining, "")})
 		return
@@ -100,29 +102,29 @@
 	g.JSON(http.StatusOK, struct{}{})
 }
 
-// status returns the control state's figures.
+// status returns the status of the attempt table, read on the control goroutine.
 func (a *Agent) status() (attempt.Status, error) {
 	var status attempt.Status
 	err := a.control.do(func(_ time.Time, s *state) { status = s.table.Status() })
 	return status, err
 }
 
-func (a *Agent) giveStatus(g *gin.Context) {
+func (a *Agent) handleStatus(g *gin.Context) {
 	status, err := a.status()
 	if err != nil {
-		refuse(g, err)
+		writeFault(g, err)
 		return
 	}
 	g.JSON(http.StatusOK, status)
 }
 
-func (a *Agent) giveMetrics(g *gin.Context) {
+func (a *Agent) handleMetrics(g *gin.Context) {
 	status, err := a.status()
 	if err != nil {
-		refuse(g, err)
+		writeFault(g, err)
 		return
 	}
-	a.metrics.update(&status)
+	a.metrics.updateAttemptGauges(&status)
 	g.Header("Content-Type", "application/json; charset=utf-8")
 	metrics.WriteJSONOnce(a.metrics.Registry, g.Writer)
 }
--- a/internal/agent/caller.go
+++ b/internal/agent/caller.go
@@ -21,63 +21,63 @@
 )
 
 const (
-	// dialTimeout bounds connecting to the target, which is on the same host or
-	// next to it. Nothing was sent by then, so the task may go elsewhere.
+	// dialTimeout limits connecting to the target, which is on the same host or near it. No
+	// byte of the request has been sent at that point, so the task can run on another target.
 	dialTimeout = time.Second
-	// A connection whose middle has lost track of it takes a request and never
-	// brings an answer, while new ones work. HTTP/1 has no heartbeat of its own, so
-	// the kernel is asked to notice: data not acknowledged for unackedTimeout, or
-	// three keep-alives in a row without an answer, break the connection. A caller
-	// then learns in seconds that the outcome is unknown, not at the deadline.
+	// When a middlebox drops the state of a connection, requests on it get no answer while new
+	// connections work. HTTP/1 has no heartbeat, so the kernel detects this: it resets the
+	// connection when data is unacknowledged for unackedTimeout or three keep-alive probes in
+	// a row are unanswered. The caller of the job then learns in seconds that the outcome is
+	// unknown, instead of at the deadline.
 	unackedTimeout    = 1500 * time.Millisecond
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 3
-	// maxResultBytes caps a task's result: a job of 290 such results still fits
-	// in an entry's memory, and one fits in a frame beside others.
+	// maxResultBytes limits the result of a task: a job of 290 such results still fits in the
+	// memory of an entry, and one fits in a frame beside other content.
 	maxResultBytes = 1 << 20
-	// maxDetailBytes caps what is passed on of a target's own words on a failure.
+	// maxDetailBytes limits how much of a target's error body is passed on as detail.
 	maxDetailBytes = 1 << 10
 )
 
-// caller calls one target over HTTP. It never sends a request twice: the body
-// can't be read again and POST is not retried by the transport.
-type caller struct {
+// targetClient runs tasks on one target over HTTP. It never sends a request twice: the body
+// cannot be rewound, and the transport does not retry POST.
+type targetClient struct {
 	url       string
 	transport *http.Transport
 }
 
-func newCaller(address string, connections int) *caller {
+func newTargetClient(address string, connections int) *targetClient {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
-		Control: limitUnacked,
+		Control: setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 	}
-	return &caller{url: "http://" + address + targetapi.RunPath, transport: &http.Transport{
+	return &targetClient{url: "http://" + address + targetapi.RunPath, transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &trackedConn{Conn: conn}, nil
 		},
 		MaxConnsPerHost:     connections,
 		MaxIdleConnsPerHost: connections,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
-		Protocols:           onlyHTTP1(),
+		Protocols:           http1Only(),
 	}}
 }
 
-func onlyHTTP1() *http.Protocols {
+func http1Only() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
 	return p
 }
 
-// limitUnacked sets how long sent data may stay unacknowledged.
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, the limit for sent data to stay unacknowledged.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(fd uintptr) {
 		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
@@ -85,49 +85,50 @@
 	return errors.CombineErrors(failure, err)
 }
 
-// callResult is how a call ended.
+// callResult is the outcome of one call.
 type callResult struct {
 	attempt.Outcome
-	// unreachable says that the target took no connection, although nobody
-	// cancelled the call.
+	// unreachable is set if no connection to the target could be obtained and the call was not
+	// cancelled.
 	unreachable bool
 }
 
-// call runs a task on the target and returns how that ended. Cancelling ctx
-// closes the connection.
-func (c *caller) call(ctx context.Context, s *wire.Start) callResult {
+// call runs a task on the target and returns the outcome, with its duration in milliseconds.
+// Cancelling ctx closes the connection.
+func (c *targetClient) call(ctx context.Context, s *wire.Start) callResult {
 	began := time.Now()
-	out := c.exchange(ctx, s)
+	out := c.roundTrip(ctx, s)
 	out.RunMs = float64(time.Since(began).Microseconds()) / 1000
 	return out
 }
 
-func (c *caller) exchange(ctx context.Context, s *wire.Start) callResult {
-	var p proof
+// roundTrip sends the request and reads the answer. An error counts as "not run" only if the
+// tracker proves that nothing was written.
+func (c *targetClient) roundTrip(ctx context.Context, s *wire.Start) callResult {
+	var p writeTracker
 	request, err := c.request(httptrace.WithClientTrace(ctx, p.trace()), s)
 	if err != nil {
-		return callResult{Outcome: notRun(err)}
+		return callResult{Outcome: notRunOutcome(err)}
 	}
 	response, err := c.transport.RoundTrip(request)
 	if err != nil && p.nothingWritten() {
-		return callResult{Outcome: notRun(err), unreachable: p.gotNone() && ctx.Err() == nil}
+		return callResult{Outcome: notRunOutcome(err), unreachable: p.neverConnected() && ctx.Err() == nil}
 	}
 	if err != nil {
 		return callResult{Outcome: attempt.Outcome{State: wire.Unknown, Detail: err.Error()}}
 	}
-	defer func() { _ = response.Body.Close() }() // nothing is left to be learned from it
-	return callResult{Outcome: read(response)}
+	defer func() { _ = response.Body.Close() }() // the outcome is known; a close error does not change it
+	return callResult{Outcome: readResponse(response)}
 }
 
-func notRun(err error) attempt.Outcome {
+func notRunOutcome(err error) attempt.Outcome {
 	return attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonTargetUnavailable, Detail: err.Error()}
 }
 
-// request makes a request that can be sent only once. GetBody stays unset: with it
-// net/http would send the request a second time on a connection that breaks. The
-// body is of a kind that net/http knows to be in memory, so that it goes out in
-// one write with the header.
-func (c *caller) request(ctx context.Context, s *wire.Start) (*http.Request, error) {
+// request builds a request that can be sent only once. GetBody stays unset: with it, net/http
+// would resend the request when a connection breaks. The body has a type that net/http
+// recognises as in-memory, so that it is sent in one write with the header.
+func (c *targetClient) request(ctx context.Context, s *wire.Start) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url, nil)
 	if err != nil {
 		return nil, err
@@ -141,11 +142,13 @@
 	return request, nil
 }
 
-func read(response *http.Response) attempt.Outcome {
+// readResponse maps a response to an outcome. Only status 503 with the "not run" header proves
+// that the task did not begin.
+func readResponse(response *http.Response) attempt.Outcome {
 	if response.StatusCode == http.StatusOK {
 		return readResult(response.Body)
 	}
-	detail, _ := io.ReadAll(io.LimitReader(response.Body, maxDetailBytes)) // what came is enough
+	detail, _ := io.ReadAll(io.LimitReader(response.Body, maxDetailBytes)) // a partial detail is good enough
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(targetapi.HeaderNotRun) == "1" {
 		return attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonTargetUnavailable, Detail: string(detail)}
 	}
@@ -163,5 +166,5 @@
 	return attempt.Outcome{State: wire.Succeeded, Result: result}
 }
 
-// close drops idle connections; calls under way go on.
-func (c *caller) close() { c.transport.CloseIdleConnections() }
+// close closes idle connections; calls in progress continue.
+func (c *targetClient) close() { c.transport.CloseIdleConnections() }
--- a/internal/agent/caller_test.go
+++ b/internal/agent/caller_test.go
@@ -31,7 +31,8 @@
 	RunSpecs(t, "agent")
 }
 
-// rawTarget answers connections by hand, to misbehave as HTTP servers can't.
+// rawTarget starts a TCP server that passes each connection to serve, for misbehaviour that
+// net/http cannot produce, and returns its address.
 func rawTarget(serve func(conn net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -53,7 +54,7 @@
 }
 
 func callOnce(address string, s *wire.Start) attempt.Outcome {
-	c := newCaller(address, 4)
+	c := newTargetClient(address, 4)
 	defer c.close()
 	return c.call(context.Background(), s).Outcome
 }
@@ -75,7 +76,7 @@
 		return server.Listener.Addr().String()
 	}
 
-	DescribeTable("tells each answer apart",
+	DescribeTable("maps each response to an outcome",
 		func(status int, notRun bool, body string, want wire.AttemptState, detail string) {
 			out := callOnce(answer(status, notRun, body), task(7))
 			Expect(out.State).To(Equal(want))
@@ -85,14 +86,14 @@
 			}
 		},
 		Entry("a result", 200, false, "result", wire.Succeeded, ""),
-		Entry("turned away before it began", 503, true, "full", wire.NotRun, "full"),
+		Entry("rejected before it began", 503, true, "full", wire.NotRun, "full"),
 		Entry("503 without the header may have run", 503, false, "oops", wire.FailedRun, "oops"),
 		Entry("the header with another status does not count", 500, true, "oops", wire.FailedRun, "500"),
-		Entry("a redirect is no result and is not followed", 307, false, "", wire.FailedRun, "307"),
+		Entry("a redirect is a failure and is not followed", 307, false, "", wire.FailedRun, "307"),
 		Entry("a result that is too large", 200, false, strings.Repeat("x", maxResultBytes+1), wire.FailedRun, "larger"),
 	)
 
-	It("says not run where nothing listens", func() {
+	It("reports not run where nothing listens", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listener.Close()).To(Succeed())
@@ -101,10 +102,10 @@
 		Expect(out.Reason).To(Equal(wire.ReasonTargetUnavailable))
 	})
 
-	// The target dies after it has read the request, or in the middle of its
-	// answer. The sale may have been confirmed; a retry by the HTTP library would
-	// bill it twice.
-	DescribeTable("says unknown where the answer is lost, and does not send again",
+	// The target dies after it has read the request, or in the middle of its answer. The task
+	// may have run: a retry by the HTTP library would run it twice, for instance bill a sale
+	// twice.
+	DescribeTable("reports unknown where the answer is lost, and does not send again",
 		func(reply string) {
 			var seen sync.Map
 			address := rawTarget(func(conn net.Conn) {
@@ -124,25 +125,25 @@
 		Entry("half an answer", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"),
 	)
 
-	// The HTTP library writes in a goroutine of its own. One that wakes after the
-	// call was judged would send a task that its owner has already moved.
-	It("lets nothing out after it was judged as not written", func() {
-		near, far := net.Pipe()
-		DeferCleanup(near.Close)
-		DeferCleanup(far.Close)
-		Expect(near.SetDeadline(time.Now())).To(Succeed()) // a write that is let through fails
-		conn := &countedConn{Conn: near}
-		var p proof
+	// The HTTP library writes in a separate goroutine. If that is scheduled after the call was
+	// reported as not run, the write must fail: the owner has already moved the task.
+	It("fails writes that begin after the request was found unwritten", func() {
+		local, remote := net.Pipe()
+		DeferCleanup(local.Close)
+		DeferCleanup(remote.Close)
+		Expect(local.SetDeadline(time.Now())).To(Succeed()) // a write that reaches the pipe times out
+		conn := &trackedConn{Conn: local}
+		var p writeTracker
 		p.gotConn(conn)
 		Expect(p.nothingWritten()).To(BeTrue())
 		_, err := conn.Write([]byte("late"))
 		Expect(err).To(MatchError(errSealed))
 	})
 
-	// Something between agent and target has forgotten an open connection: what is
-	// sent on it vanishes, while new connections work. A caller would wait until
-	// its deadline, and so would every later one whose call goes out on it.
-	It("gives up a connection that has gone silent and goes on with a new one", func() {
+	// A middlebox drops the state of an open connection: what is sent on it is lost, while new
+	// connections work. A call on it would last until its deadline, and so would all later
+	// calls on that connection.
+	It("drops a connection that has gone silent and uses a new one", func() {
 		var once sync.Once
 		lost := make(chan struct{})
 		address := rawTarget(func(conn net.Conn) {
@@ -156,29 +157,29 @@
 				_, _ = io.Copy(io.Discard, request.Body)
 				_, _ = io.WriteString(conn, answer)
 				once.Do(func() {
-					loseTrack(conn.(*net.TCPConn))
+					dropIncomingSegments(conn.(*net.TCPConn))
 					close(lost)
 				})
 			}
 		})
-		c := newCaller(address, 4)
+		c := newTargetClient(address, 4)
 		DeferCleanup(c.close)
 		Expect(c.call(context.Background(), task(1)).State).To(Equal(wire.Succeeded))
-		Eventually(lost).Should(BeClosed()) // a call before that would still be answered
+		Eventually(lost).Should(BeClosed()) // an earlier call would still be answered
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		defer cancel()
 		Expect(c.call(ctx, task(2)).State).To(Equal(wire.Unknown))
-		Expect(ctx.Err()).NotTo(HaveOccurred(), "it was not the deadline that ended the call")
+		Expect(ctx.Err()).NotTo(HaveOccurred(), "the call must end before its deadline")
 		Expect(c.call(ctx, task(3)).State).To(Equal(wire.Succeeded))
 	})
 
-	// Targets close idle connections whenever they like, restart, and callers
-	// cancel, all in the same instant as a new request goes out. A "not run" that
-	// is untrue lets the task run twice elsewhere.
-	It("never says not run of a task that the target got", func() {
+	// Targets close idle connections at any time and restart, and callers cancel, at the
+	// moment when a new request is sent. A wrong "not run" lets the task run a second time
+	// elsewhere.
+	It("never reports not run for a task that the target received", func() {
 		var got sync.Map
 		address := rawTarget(func(conn net.Conn) { closeAtRandom(conn, &got) })
-		c := newCaller(address, 4)
+		c := newTargetClient(address, 4)
 		DeferCleanup(c.close)
 		outcomes := map[wire.AttemptState]int{}
 		var mu sync.Mutex
@@ -206,13 +207,13 @@
 			Expect(times).To(Equal(1))
 			return true
 		})
-		Expect(outcomes).To(HaveLen(3), "not run, succeeded and unknown should all have come up")
+		Expect(outcomes).To(HaveLen(3), "the outcomes not run, succeeded and unknown must all occur")
 	})
 })
 
-// loseTrack makes the kernel drop, without an answer, every segment that comes on
-// the connection.
-func loseTrack(conn *net.TCPConn) {
+// dropIncomingSegments makes the kernel drop all segments that arrive on the connection,
+// without a reset.
+func dropIncomingSegments(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	Expect(err).NotTo(HaveOccurred())
 	dropAll := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
@@ -224,8 +225,8 @@
 	Expect(errors.CombineErrors(failure, err)).NotTo(HaveOccurred())
 }
 
-// closeAtRandom answers a few requests on a connection and closes it before,
-// within or after one of them.
+// closeAtRandom answers some requests on a connection and closes it before, during or after
+// one of them.
 func closeAtRandom(conn net.Conn, got *sync.Map) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -245,8 +246,8 @@
 	}
 }
 
-// FuzzAnnouncement feeds the decoder of announcements, which reads whatever
-// reaches the agent's port. A fault must name the field, and nothing may panic.
+// FuzzAnnouncement tests the decoder of announcements, which reads untrusted input from the
+// agent's port. A fault must name the field, and no input may cause a panic.
 func FuzzAnnouncement(f *testing.F) {
 	for _, seed := range []string{
 		`{"name":"t","address":"127.0.0.1:80","slots":8,"speed":1,"connections":64}`,
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -10,19 +10,20 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// openConfig takes a new connection to an entry in. An agent keeps the
-// configuration for entries that start while the platform's log is out.
-func (s *entrySession) openConfig() {
+// attachConfig starts exchanging configuration on a new connection to an entry. An agent keeps
+// the configuration for entries that start while the log of the platform is unavailable.
+func (s *entrySession) attachConfig() {
 	link := config.NewAgentLink(s.holder, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	s.config = s.fanOut.Add(link, func(mark uint64, update []byte) {
-		s.conn.Send(&wire.ToEntry{Version: mark, Config: update})
+	s.config = s.fanOut.Add(link, func(version uint64, update []byte) {
+		s.conn.Send(&wire.ToEntry{Version: version, Config: update})
 	})
 }
 
-func (s *entrySession) closeConfig() {
+// detachConfig stops the exchange; it has no effect before attachConfig.
+func (s *entrySession) detachConfig() {
 	if s.config != nil {
 		s.fanOut.Remove(s.config)
 	}
 }
 
-func (a *Agent) giveConfig(g *gin.Context) { g.JSON(http.StatusOK, a.holder.Report()) }
+func (a *Agent) handleConfig(g *gin.Context) { g.JSON(http.StatusOK, a.holder.Report()) }
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	// tickEvery is fine enough to find a silent target well within 2 s. An idle
+	// tickInterval is short enough to detect a silent target well within 2 s, and an idle
 	// agent does little but wake up for it.
-	tickEvery = 100 * time.Millisecond
-	// maxCommands bounds what waits for the control goroutine; who hands in more
-	// waits, and so an owner that floods the agent is slowed by its own connection.
+	tickInterval = 100 * time.Millisecond
+	// maxCommands limits the queue of the control goroutine. Senders block when it is full, so
+	// an owner that floods the agent is slowed by its own connection.
 	maxCommands = 1024
-	// maxBatch bounds the commands between two flushes, so that no report waits for
-	// a long line of other work.
+	// maxBatch limits the commands between two flushes, so that reports are not delayed by a
+	// long queue.
 	maxBatch = 128
 )
 
-// command is something to do with the state, on the control goroutine.
+// command is a function that the control goroutine applies to the state.
 type command = control.Command[*state]
 
-// patience is how long a command that is waited for may wait for room. Only
-// operators and the target's announcements wait; they come again.
-const patience = time.Second
+// commandTimeout limits how long a synchronous command may wait for a place in the queue.
+// Operators, announcements of the target and new sessions retry after control.ErrBusy.
+const commandTimeout = time.Second
 
-// controlLoop is the goroutine that owns the state.
+// controlLoop is the control goroutine, which owns the state.
 type controlLoop struct{ *control.Loop[*state] }
 
-func newControl(s *state, k clock.Clock, turned func(control.Turn)) *controlLoop {
-	stalls := gauges.StallObserver(s.log, tickEvery)
+func newControl(s *state, k clock.Clock, onTurn func(control.Turn)) *controlLoop {
+	stalls := gauges.StallObserver(s.log, tickInterval)
 	return &controlLoop{control.New(control.Options[*state]{
-		State: s, Clock: k, OnTurn: turned,
+		State: s, Clock: k, OnTurn: onTurn,
 		Tick: func(now time.Time, s *state) {
 			stalls()
 			s.tick(now)
 		},
-		TickInterval: func(*state) time.Duration { return tickEvery },
+		TickInterval: func(*state) time.Duration { return tickInterval },
 		Flush:        func(s *state) { s.table.Flush() }, MaxCommands: maxCommands, MaxBatch: maxBatch,
 	})}
 }
 
-// do runs a command and waits until it is done. The error is control.ErrBusy or
-// control.ErrStopped.
-func (l *controlLoop) do(run command) error { return l.Do(patience, run) }
+// do runs a command on the control goroutine and waits for its end. The error is
+// control.ErrBusy or control.ErrStopped.
+func (l *controlLoop) do(run command) error { return l.Do(commandTimeout, run) }
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -9,10 +9,10 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// latencySamples is the size of the random sample that quantiles are taken from.
+// latencySamples is the size of the random sample from which quantiles are computed.
 const latencySamples = 1028
 
-// counters are what GET /metrics shows.
+// counters are the metrics of GET /metrics.
 type counters struct {
 	gauges.Set
 	sessions *session.Counters
@@ -33,24 +33,24 @@
 	return c
 }
 
-// outcome counts a call that ended.
-func (c *counters) outcome(out attempt.Outcome) {
+// recordOutcome counts a finished call, and records the run time of a success.
+func (c *counters) recordOutcome(out attempt.Outcome) {
 	c.outcomes[out.State].Inc(1)
 	if out.State == wire.Succeeded {
 		c.runMs.Update(int64(out.RunMs))
 	}
 }
 
-// members shows which entries the agent knows and keeps sessions with.
-func (c *counters) members(d *dialers) {
+// registerMemberGauges adds gauges of the known, connected and failed entries.
+func (c *counters) registerMemberGauges(d *dialers) {
 	c.RegisterGauge("entries.known", func() int64 { return d.counts().known })
 	c.RegisterGauge("entries.connected", func() int64 { return d.counts().connected })
-	c.RegisterGauge("entries.connected_home", func() int64 { return d.counts().home })
+	c.RegisterGauge("entries.connected_home", func() int64 { return d.counts().local })
 	c.RegisterGauge("entries.down", func() int64 { return d.counts().down })
 }
 
-// update copies the control state's figures.
-func (c *counters) update(s *attempt.Status) {
+// updateAttemptGauges sets gauges from the status of the attempt table.
+func (c *counters) updateAttemptGauges(s *attempt.Status) {
 	set := func(name string, value int64) {
 		metrics.GetOrRegisterGauge("attempts."+name, c.Registry).Update(value)
 	}
--- a/internal/agent/daemon_test.go
+++ b/internal/agent/daemon_test.go
@@ -22,11 +22,11 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// fakeEntry accepts an agent's connections and notes what comes on them.
+// fakeEntry accepts agents' connections and records what arrives on them.
 type fakeEntry struct {
 	server      *httptest.Server
 	incarnation job.Incarnation
-	addr        string // as told in the welcome
+	addr        string // sent in the welcome
 	dataCentre  string
 
 	mu    sync.Mutex
@@ -79,7 +79,7 @@
 	c.reports = append(c.reports, f.Reports...)
 	if f.Credits != nil {
 		c.total = f.Credits.Total
-		c.giveBack(uint64(f.Credits.Recall))
+		c.returnCredits(uint64(f.Credits.Recall))
 	}
 	if f.Target != nil {
 		c.target = *f.Target
@@ -87,13 +87,13 @@
 	return nil
 }
 
-func (e *fakeEntry) opened() int {
+func (e *fakeEntry) connCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.conns)
 }
 
-// conn waits for the nth connection.
+// conn waits for connection n, counted from 0.
 func (e *fakeEntry) conn(n int) *fakeConn {
 	GinkgoHelper()
 	var c *fakeConn
@@ -109,14 +109,15 @@
 	return c
 }
 
-func (c *fakeConn) giveBack(recall uint64) {
+func (c *fakeConn) returnCredits(recall uint64) {
 	if back := min(recall, c.total-c.spent-c.returned); back > 0 {
 		c.returned += back
 		c.Send(&wire.ToAgent{Demand: &wire.Demand{Returned: c.returned}})
 	}
 }
 
-// start runs a task against one of two credits and waits until it has begun.
+// start runs a task on one of two credits and waits until it has begun. runMs is its run time
+// in milliseconds, echo its result.
 func (c *fakeConn) start(seq uint64, runMs float64, echo string) {
 	GinkgoHelper()
 	Eventually(c.granted, "5s").Should(BeEquivalentTo(2))
@@ -125,7 +126,7 @@
 	c.mu.Unlock()
 	c.Send(startFrame(seq, runMs, echo))
 	c.Send(&wire.ToAgent{Queries: []uint64{seq}})
-	Eventually(c.reported, "5s").Should(BeNumerically(">=", 1))
+	Eventually(c.reportCount, "5s").Should(BeNumerically(">=", 1))
 }
 
 func (c *fakeConn) granted() uint64 {
@@ -134,7 +135,7 @@
 	return c.total
 }
 
-func (c *fakeConn) reported() int {
+func (c *fakeConn) reportCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.reports)
@@ -152,7 +153,7 @@
 	return c.target.Leaving
 }
 
-// report waits for the final report of an attempt.
+// report waits for the final report of attempt seq.
 func (c *fakeConn) report(seq uint64) wire.Report {
 	GinkgoHelper()
 	var found wire.Report
@@ -214,25 +215,25 @@
 
 var _ = Describe("the agent daemon", func() {
 	var (
-		entry *fakeEntry
-		agent *Agent
-		back  *target.Server
+		entry   *fakeEntry
+		agent   *Agent
+		standin *target.Server
 	)
 	BeforeEach(func() {
 		entry = newFakeEntry()
 		agent = startAgent(entry.addr)
-		back = startTarget(agent)
+		standin = startTarget(agent)
 	})
 	stop := func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
 		Expect(agent.Stop(ctx)).To(Succeed())
 		cancel()
-		_ = back.Stop(ctx) // ends at once
+		_ = standin.Stop(ctx) // ends at once
 	}
 
-	// The connection breaks while a task runs at the target. The entry has only
-	// the next connection to learn the result from; a user would wait in vain.
+	// The connection breaks while a task runs at the target. Unless the result is reported on
+	// the next connection, the entry never learns it and the user waits until the deadline.
 	It("delivers the result of a task on the connection after the one that broke", func() {
 		first := entry.conn(0)
 		first.start(1, 200, "done")
@@ -245,9 +246,9 @@
 		stop()
 	})
 
-	// An operator replaces the host. Ending while a task runs, or before its report
-	// has arrived, would turn finished work into an unknown outcome.
-	It("finishes and reports what runs before it ends", func() {
+	// An operator replaces the host. If the agent stopped while a task runs, or before its
+	// report is acknowledged, the outcome of finished work would be unknown.
+	It("finishes and reports running tasks before it stops", func() {
 		conn := entry.conn(0)
 		conn.start(1, 300, "done")
 		ended := make(chan struct{})
@@ -263,29 +264,29 @@
 		Eventually(ended, "5s").Should(BeClosed())
 	})
 
-	// A balancer's address leads to an entry that is known by its own. Were both
+	// A load balancer leads to an entry that is known by its own address. If both were
 	// dialled, each new connection would replace the other for ever.
-	It("gives way to an entry's own address", func() {
+	It("prefers an entry's own address to an alias", func() {
 		conn := entry.conn(0)
 		balancer := httptest.NewServer(http.HandlerFunc(entry.serve))
 		DeferCleanup(balancer.Close)
 		conn.Send(&wire.ToAgent{Entries: []wire.Peer{{Addr: balancer.Listener.Addr().String()}, {Addr: "0.0.0.0:1"}, {Addr: "nonsense"}}})
 		entry.conn(1) // through the balancer, which ends at once
-		Eventually(agent.sessionsOpen, "5s").Should(Equal(1))
-		Consistently(entry.opened, "300ms").Should(BeNumerically("<=", 3))
+		Eventually(agent.openSessionCount, "5s").Should(Equal(1))
+		Consistently(entry.connCount, "300ms").Should(BeNumerically("<=", 3))
 		stop()
 	})
 
-	// The target has died, but its silence does not show yet. Each slot it still
-	// seems to have would cost a message there and one back, again and again.
-	It("takes a target that accepts no connection out of service at once", func() {
+	// The target has died, but its announcements are not overdue yet. Each slot that it seems
+	// to have would cost one start and one report, repeatedly.
+	It("takes a target that cannot be connected to out of service at once", func() {
 		conn := entry.conn(0)
 		Eventually(conn.granted, "5s").Should(BeEquivalentTo(2))
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = back.Stop(ctx) // ends at once
-		status, _ := post(agent.Addr(), "/v1/announce", `{"name":"standin","address":"`+back.Addr()+`","slots":2,"speed":1,"connections":1}`)
-		Expect(status).To(Equal(http.StatusOK)) // its last words
+		_ = standin.Stop(ctx) // ends at once
+		status, _ := post(agent.Addr(), "/v1/announce", `{"name":"standin","address":"`+standin.Addr()+`","slots":2,"speed":1,"connections":1}`)
+		Expect(status).To(Equal(http.StatusOK)) // its last announcement
 		conn.start(1, 1, "")
 		Expect(conn.report(1).State).To(Equal(wire.NotRun))
 		Eventually(conn.down, "1s").Should(BeTrue())
@@ -293,8 +294,8 @@
 		stop()
 	})
 
-	// A target's client holds a connection in reserve that never carried an
-	// announcement. The agent had finished everything and still ended as failed.
+	// A target's HTTP client may hold a spare connection that never carried a request. Waiting
+	// for it would make a finished drain end as a failure.
 	It("does not wait for connections that were never used", func() {
 		entry.conn(0)
 		reserve, err := net.Dial("tcp", agent.Addr())
--- a/internal/agent/dialers.go
+++ b/internal/agent/dialers.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// The first retry comes soon, because a silent connection is replaced this way
-	// and reports wait meanwhile. The cap keeps 5,700 agents that all lost a region
-	// from dialling it more than some thousand times a second; the jitter spreads
-	// them when it comes back.
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = 2 * time.Second
-	jitter     = 0.5
-	// steadyAfter is how long a session must last for the next retry to be soon.
-	steadyAfter = 2 * time.Second
-	// forgetAfter drops a learned address that can't be reached: entries' hosts are
-	// replaced all the time, and their old addresses would be dialled for ever.
+	// The first retry comes soon, because it is how a silent connection is replaced, and
+	// reports wait for it. The maximum keeps 5,700 agents that have all lost a region from
+	// dialling it more than a few thousand times a second; the jitter spreads them when it
+	// returns.
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
+	retryJitter       = 0.5
+	// stableAfter is how long a session must last for the retry delay to start over.
+	stableAfter = 2 * time.Second
+	// forgetAfter is how long a learned address may be unreachable before it is dropped. Hosts
+	// of entries are replaced all the time, and their old addresses would be dialled for ever.
 	forgetAfter = 10 * time.Minute
-	// aliasRetry is how often an address that belongs to an entry known by another
-	// one is looked at again.
-	aliasRetry = time.Second
+	// aliasCheckInterval is how often the goroutine of an alias, an address whose entry is
+	// known by its own address, checks whether any entry is still connected.
+	aliasCheckInterval = time.Second
 )
 
-// dialers keeps one dialling goroutine for each entry that is kept a session with
-// or can't be reached. A single goroutine an address makes the connection dialled
-// last the newest one.
+// dialers keeps the known entries, and a dialling goroutine for each entry that has a session
+// or is being dialled. With a single goroutine per address, the connection that was dialled
+// last is always the newest one at the entry.
 type dialers struct {
-	agent *Agent
-	ctx   context.Context
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-	kick  chan struct{} // the choice of entries should be looked at
-	// surplusAfter is the constant of that name; tests shorten it.
+	agent      *Agent
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	replan     chan struct{} // signals that the selection of entries should be computed again
+	// surplusAfter is the constant of that name, or a shorter time in tests.
 	surplusAfter time.Duration
 
 	mu    sync.Mutex
@@ -48,11 +48,12 @@
 
 func newDialers(a *Agent) *dialers {
 	ctx, stop := context.WithCancel(context.Background())
-	return &dialers{agent: a, ctx: ctx, stop: stop, kick: make(chan struct{}, 1), surplusAfter: surplusAfter, known: map[string]*member{}}
+	return &dialers{agent: a, ctx: ctx, stop: stop, replan: make(chan struct{}, 1), surplusAfter: surplusAfter, known: map[string]*member{}}
 }
 
-// canonical returns the address in the one form it is compared by, or "".
-func canonical(addr string) string {
+// canonicalAddr returns addr in canonical form, for comparison, or "" if it is not the ip:port
+// of a single host.
+func canonicalAddr(addr string) string {
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() || parsed.Addr().IsMulticast() {
 		return ""
@@ -60,40 +61,40 @@
 	return parsed.String()
 }
 
-// dial starts the dialling goroutine of an entry. The caller holds the lock.
-func (d *dialers) dial(m *member) {
+// startDialling starts the dialling goroutine of an entry. The caller holds d.mu.
+func (d *dialers) startDialling(m *member) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	m.cancel = cancel
-	d.done.Go(func() {
+	d.goroutines.Go(func() {
 		defer cancel()
-		d.keep(ctx, m)
+		d.maintain(ctx, m)
 	})
 }
 
-// keep holds a connection to the entry until it is no longer wanted, or until the
-// address is given up.
-func (d *dialers) keep(ctx context.Context, m *member) {
+// maintain connects to the entry, again after each failure, until ctx is cancelled or the
+// address is dropped as unreachable.
+func (d *dialers) maintain(ctx context.Context, m *member) {
 	wait := newBackoff()
 	lastReached := time.Now()
-	strict := true
+	requireOwnAddr := true
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := d.agent.connect(ctx, m.addr, strict)
+		err := d.agent.connect(ctx, m.addr, requireOwnAddr)
 		var alias *aliasError
 		isAlias := errors.As(err, &alias)
-		d.ended(ctx, m, isAlias)
-		if time.Since(began) > steadyAfter {
+		d.connectionEnded(ctx, m, isAlias)
+		if time.Since(began) > stableAfter {
 			wait.Reset()
 		}
 		switch {
 		case isAlias:
-			// The entry's own address is dialled from here on. Dialling it here too
-			// would only make the two connections replace each other for ever. Should
-			// the own address prove out of reach, this one has to do.
-			strict = !d.idleUntilAlone(ctx, m.addr)
+			// The entry's own address is dialled instead. With both dialled, the two
+			// connections would replace each other for ever. If the own address proves
+			// unreachable, the alias is used.
+			requireOwnAddr = !d.waitUntilDisconnected(ctx, m.addr)
 			lastReached = time.Now()
 			continue
-		case reached(err):
+		case wasConnected(err):
 			lastReached = time.Now()
 		case !m.configured && time.Since(lastReached) > forgetAfter:
 			d.forget(m)
@@ -103,18 +104,19 @@
 	}
 }
 
-// idleUntilAlone waits while any entry is connected and returns true when none is.
-// Now and then it asks through the alias for entries that are not known yet.
-func (d *dialers) idleUntilAlone(ctx context.Context, addr string) bool {
-	next := time.Now().Add(probeWait())
+// waitUntilDisconnected waits while any entry is connected. It returns true when none is, and
+// false when ctx is cancelled. At random intervals it asks through the alias for unknown
+// entries.
+func (d *dialers) waitUntilDisconnected(ctx context.Context, addr string) bool {
+	next := time.Now().Add(randomProbeDelay())
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, aliasRetry)
-		if d.agent.sessionsOpen() == 0 {
+		clock.Sleep(ctx, aliasCheckInterval)
+		if d.agent.openSessionCount() == 0 {
 			return true
 		}
 		if time.Now().After(next) {
 			d.probe(ctx, addr)
-			next = time.Now().Add(probeWait())
+			next = time.Now().Add(randomProbeDelay())
 		}
 	}
 	return false
@@ -122,17 +124,17 @@
 
 func newBackoff() *backoff.ExponentialBackOff {
 	return backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(firstRetry),
-		backoff.WithMaxInterval(lastRetry),
-		backoff.WithRandomizationFactor(jitter),
+		backoff.WithInitialInterval(initialRetryDelay),
+		backoff.WithMaxInterval(maxRetryDelay),
+		backoff.WithRandomizationFactor(retryJitter),
 		backoff.WithMaxElapsedTime(0),
 	)
 }
 
-// end closes every connection and waits for the dialling goroutines.
-func (d *dialers) end() {
-	d.mu.Lock() // no address is added from here on
+// shutdown closes all connections and waits for the dialling goroutines.
+func (d *dialers) shutdown() {
+	d.mu.Lock() // no address is added after this
 	d.stop()
 	d.mu.Unlock()
-	d.done.Wait()
+	d.goroutines.Wait()
 }
--- a/internal/agent/entrysession.go
+++ b/internal/agent/entrysession.go
@@ -13,41 +13,41 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// welcomeError is a connection that an entry does not open as it must.
-type welcomeError struct{ what string }
+// welcomeError reports an invalid welcome, the first frame of an entry.
+type welcomeError struct{ reason string }
 
 // Error implements error.
-func (e *welcomeError) Error() string { return "welcome: " + e.what }
+func (e *welcomeError) Error() string { return "welcome: " + e.reason }
 
-// aliasError is an entry that has another address than the one dialled: a
-// balancer, or a second name of the same entry.
+// aliasError reports that the dialled address is not the own address of the entry that
+// answered: it belongs to a load balancer, or is a second name of the entry.
 type aliasError struct{ addr string }
 
 // Error implements error.
 func (e *aliasError) Error() string { return "the entry's own address is " + e.addr }
 
-// entrySession is one connection to an entry. Its fields but conn are touched
-// only by its reading goroutine until it is welcomed.
+// entrySession is one connection to an entry. All fields but conn are accessed only by the
+// reading goroutine until the welcome has been accepted.
 type entrySession struct {
 	*Agent
-	addr   string // as dialled
-	id     attempt.ConnID
-	conn   *session.ToEntryConn
-	strict bool // give way to the entry's own address
-	owner  job.Incarnation
-	peer   wire.Peer // the entry, as it says itself
-	config *config.Peer
+	addr           string // the dialled address
+	id             attempt.ConnID
+	conn           *session.ToEntryConn
+	requireOwnAddr bool            // end the session if the entry has another own address
+	owner          job.Incarnation // of the entry; 0 before its welcome
+	peer           wire.Peer       // the entry, from its welcome
+	config         *config.Peer
 }
 
-// serve opens the session with a hello and reads until the connection ends. It
-// returns why that was.
+// serve sends the hello and handles frames until the connection ends. The error gives the
+// reason.
 func (s *entrySession) serve() error {
 	err := s.control.do(func(_ time.Time, st *state) { s.conn.Send(s.hello(st)) })
 	if err != nil {
 		return err
 	}
 	err = s.conn.Serve(s.receive)
-	s.ended(err)
+	s.handleEnd(err)
 	return err
 }
 
@@ -55,22 +55,23 @@
 	return &wire.ToEntry{Hello: &wire.Hello{
 		Version:     wire.Version,
 		Incarnation: st.incarnation,
-		Worker:      s.o.Worker,
-		DataCentre:  s.o.DataCentre,
-		Rack:        s.o.Rack,
+		Worker:      s.options.Worker,
+		DataCentre:  s.options.DataCentre,
+		Rack:        s.options.Rack,
 		Target:      st.table.Target(),
-		Entries:     st.connected(),
+		Entries:     st.connectedEntries(),
 	}}
 }
 
-// receive takes a frame on the reading goroutine; the channel keeps the order.
+// receive handles a frame on the reading goroutine and passes it to the control goroutine, in
+// the order of arrival.
 func (s *entrySession) receive(f *wire.ToAgent) error {
 	if s.owner == 0 {
-		if err := s.welcome(f.Welcome); err != nil {
+		if err := s.handleWelcome(f.Welcome); err != nil {
 			return err
 		}
 	}
-	s.learn(f)
+	s.learnEntries(f)
 	if err := s.config.Heard(f.Version, f.Config); err != nil {
 		return err
 	}
@@ -84,32 +85,35 @@
 	})
 }
 
-func (s *entrySession) welcome(w *wire.Welcome) error {
+// handleWelcome opens the session. The error is a *welcomeError, an *aliasError or
+// control.ErrStopped.
+func (s *entrySession) handleWelcome(w *wire.Welcome) error {
 	switch {
 	case w == nil:
-		return &welcomeError{"the first frame carries none"}
+		return &welcomeError{"it is missing from the first frame"}
 	case w.Version != wire.Version:
-		return &welcomeError{"another version of the protocol"}
+		return &welcomeError{"unsupported protocol version"}
 	case w.Incarnation == 0:
 		return &welcomeError{"the incarnation is missing"}
 	}
-	if own := canonical(w.Addr); s.strict && own != "" && own != s.addr {
+	if own := canonicalAddr(w.Addr); s.requireOwnAddr && own != "" && own != s.addr {
 		s.dialers.learn(wire.Peer{Addr: own, DataCentre: w.DataCentre})
 		return &aliasError{own}
 	}
 	s.owner, s.peer = w.Incarnation, wire.Peer{Addr: s.addr, DataCentre: w.DataCentre}
-	s.openConfig()
+	s.attachConfig()
 	event.Log(s.log, event.SessionOpened, "conn", uint64(s.id), "entry", s.addr, "owner", w.Incarnation.String())
-	s.open.Add(1)
+	s.openSessions.Add(1)
 	err := s.control.Push(func(now time.Time, st *state) {
 		st.sessions[s.id] = s
 		st.table.Connect(now, s.id, w)
 	})
-	s.dialers.opened(s, w)
+	s.dialers.sessionOpened(s, w)
 	return err
 }
 
-func (s *entrySession) learn(f *wire.ToAgent) {
+// learnEntries adds the entries that a frame names, and notes that its sender is leaving.
+func (s *entrySession) learnEntries(f *wire.ToAgent) {
 	for _, p := range f.Entries {
 		s.dialers.learn(p)
 	}
@@ -119,24 +123,25 @@
 		}
 	}
 	if f.Leaving {
-		s.dialers.left(s)
+		s.dialers.markLeaving(s)
 	}
 }
 
-// isHeartbeat reports whether a frame carries nothing for the attempt table.
+// isHeartbeat reports whether a frame has no content for the attempt table.
 func isHeartbeat(f *wire.ToAgent) bool {
 	return f.Demand == nil && f.Settled == 0 &&
 		len(f.Starts)+len(f.Cancels)+len(f.Queries)+len(f.Acks) == 0
 }
 
-func (s *entrySession) ended(err error) {
+// handleEnd logs the end of the connection and removes an opened session.
+func (s *entrySession) handleEnd(err error) {
 	s.logEnd(err)
 	if s.owner == 0 {
 		return
 	}
-	s.open.Add(-1)
-	s.closeConfig()
-	// The error means that the process ends, and the state with it.
+	s.openSessions.Add(-1)
+	s.detachConfig()
+	// The error means that the process is stopping, which discards the state.
 	_ = s.control.Push(func(now time.Time, st *state) {
 		delete(st.sessions, s.id)
 		st.table.Disconnect(now, s.id)
@@ -153,12 +158,13 @@
 	case errors.As(err, &protocol):
 		id = event.BadFrame
 	case errors.As(err, &closed):
-		id = endEvent(closed.Reason)
+		id = closeEvent(closed.Reason)
 	}
 	event.Log(s.log, id, "conn", uint64(s.id), "entry", s.addr, "error", err.Error())
 }
 
-func endEvent(r session.Reason) event.ID {
+// closeEvent returns the event for the reason why a connection was closed.
+func closeEvent(r session.Reason) event.ID {
 	switch r {
 	case session.ReasonSilent, session.ReasonUnacknowledged:
 		return event.SessionSilent
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -11,84 +11,85 @@
 )
 
 const (
-	// planEvery is how often the choice of entries is looked at when nothing calls
-	// for it. It bounds how much later than replaceAfter a substitute is dialled.
-	planEvery = 250 * time.Millisecond
-	// replaceAfter is how long an entry may be out of reach before another one is
-	// dialled in its place. A connection that went silent is replaced within less,
-	// and an agent has other sessions meanwhile; sooner, each lost connection of a
-	// busy minute would open one more session elsewhere and close it again.
+	// planInterval is how often the selection of entries is computed again without an event.
+	// It limits how long after replaceAfter a substitute is dialled.
+	planInterval = 250 * time.Millisecond
+	// replaceAfter is how long an entry may be unreachable before another one is dialled as a
+	// substitute. A silent connection is replaced in less time, and the agent has other
+	// sessions meanwhile. With a shorter time, each connection lost under load would open one
+	// more session elsewhere and close it again.
 	replaceAfter = time.Second
-	// surplusAfter is how long all chosen entries must be connected before the
-	// session of a substitute is given up. An entry that comes and goes would else
-	// make its agents open and close sessions with each of its starts.
+	// surplusAfter is how long all selected entries must be connected before the session of a
+	// substitute is closed. Otherwise an entry that restarts repeatedly would make its agents
+	// open and close sessions at each start.
 	surplusAfter = 10 * time.Second
 )
 
-// member is an entry that the agent knows. Its fields but addr and configured are
-// guarded by the lock of dialers.
+// member is a known entry. All fields but addr and configured are guarded by dialers.mu.
 type member struct {
 	addr       string
-	configured bool
+	configured bool // from the settings; never dropped
 	dataCentre string
-	alias      bool // leads to an entry that has another address
-	leaving    bool // it said that it takes no new submissions
-	met        bool // it has opened a session once, so its data centre is its own word
-	told       bool // the other entries were told of it
+	alias      bool // another address is the own address of its entry
+	leaving    bool // it has announced that it accepts no new submissions
+	confirmed  bool // it has opened a session, so dataCentre comes from its own welcome
+	advertised bool // its address was sent to the other connected entries
 
-	cancel       context.CancelFunc // nil while nothing dials it
-	session      *entrySession      // nil while it is not connected
+	cancel       context.CancelFunc // stops its dialling goroutine; nil without one
+	session      *entrySession      // nil while disconnected
 	openedAt     time.Time
-	failingSince time.Time // zero while it is well
-	surplusSince time.Time // zero while it is chosen
+	failingSince time.Time // zero while it is healthy
+	surplusSince time.Time // zero while it is selected
 	retiring     bool
 }
 
-// down reports whether another entry should take its place.
+// down reports whether a substitute should take the place of the entry at now.
 func (m *member) down(now time.Time) bool {
-	if m.session != nil && now.Sub(m.openedAt) > steadyAfter {
+	if m.session != nil && now.Sub(m.openedAt) > stableAfter {
 		m.failingSince = time.Time{}
 	}
-	patience := replaceAfter
+	limit := replaceAfter
 	if m.session != nil {
-		patience += steadyAfter // it may be well again; one that comes and goes is not
+		limit += stableAfter // until the session is stable, the entry may be restarting repeatedly
 	}
-	return m.leaving || !m.failingSince.IsZero() && now.Sub(m.failingSince) > patience
+	return m.leaving || !m.failingSince.IsZero() && now.Sub(m.failingSince) > limit
 }
 
-// configured adds an address from the settings, which is never forgotten.
-func (d *dialers) configured(addr string) { d.add(wire.Peer{Addr: canonical(addr)}, true) }
+// addConfigured adds an address from the settings, which is never dropped.
+func (d *dialers) addConfigured(addr string) { d.add(wire.Peer{Addr: canonicalAddr(addr)}, true) }
 
-// learn adds an entry that another one named. One that is malformed or beyond the
-// cap is left out.
+// learn adds an entry that another one named. It ignores a malformed address, and a new one
+// when no place is free.
 func (d *dialers) learn(p wire.Peer) {
-	p.Addr = canonical(p.Addr)
+	p.Addr = canonicalAddr(p.Addr)
 	if d.add(p, false) {
 		event.Log(d.agent.log, event.PeerLearned, "entry", p.Addr, "data_centre", p.DataCentre)
 	}
 }
 
+// add adds an entry or updates its data centre, and returns true if the entry is new.
 func (d *dialers) add(p wire.Peer, configured bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if known := d.known[p.Addr]; known != nil {
-		if !known.met && p.DataCentre != "" {
+		if !known.confirmed && p.DataCentre != "" {
 			known.dataCentre = p.DataCentre
 		}
 		return false
 	}
-	if p.Addr == "" || !d.hasRoom() || d.ctx.Err() != nil {
+	if p.Addr == "" || !d.makeRoom() || d.ctx.Err() != nil {
 		return false
 	}
 	d.known[p.Addr] = &member{addr: p.Addr, dataCentre: p.DataCentre, configured: configured}
-	d.wake()
+	d.requestPlan()
 	return true
 }
 
-// hasRoom reports whether one more entry may be known, if need be in the place of
-// one that can't be reached: addresses of replaced hosts would else keep new ones out.
-func (d *dialers) hasRoom() bool {
-	if len(d.known) < d.agent.o.MaxEntries {
+// makeRoom reports whether one more entry can be added. At the limit it drops a learned entry
+// that cannot be reached: addresses of replaced hosts would otherwise block new ones. The
+// caller holds d.mu.
+func (d *dialers) makeRoom() bool {
+	if len(d.known) < d.agent.options.MaxEntries {
 		return true
 	}
 	for addr, m := range d.known {
@@ -103,6 +104,7 @@
 	return false
 }
 
+// forget drops a learned address that stayed unreachable.
 func (d *dialers) forget(m *member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,39 +113,39 @@
 	}
 }
 
-// wake has the choice looked at soon.
-func (d *dialers) wake() {
+// requestPlan makes run compute the selection again soon. It does not block.
+func (d *dialers) requestPlan() {
 	select {
-	case d.kick <- struct{}{}:
+	case d.replan <- struct{}{}:
 	default:
 	}
 }
 
-// opened notes a session that an entry has welcomed, and tells the other entries
-// of it when it is new.
-func (d *dialers) opened(s *entrySession, w *wire.Welcome) {
+// sessionOpened records a session whose welcome was accepted, and sends the entry to the
+// others if it is new or its data centre has changed.
+func (d *dialers) sessionOpened(s *entrySession, w *wire.Welcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.known[s.addr]
 	if m == nil {
-		return // its place was given to another
+		return // it was dropped in makeRoom
 	}
 	m.session, m.openedAt, m.retiring, m.leaving = s, time.Now(), false, w.Leaving
-	m.alias = !s.strict
-	if s.strict {
-		m.told = m.told && m.dataCentre == w.DataCentre
-		m.met, m.dataCentre = true, w.DataCentre
-		d.tell(m)
+	m.alias = !s.requireOwnAddr
+	if s.requireOwnAddr {
+		m.advertised = m.advertised && m.dataCentre == w.DataCentre
+		m.confirmed, m.dataCentre = true, w.DataCentre
+		d.advertise(m)
 	}
-	d.wake()
+	d.requestPlan()
 }
 
-// tell passes an entry on to the others that are connected.
-func (d *dialers) tell(m *member) {
-	if m.told {
+// advertise sends an entry to the other connected entries, once. The caller holds d.mu.
+func (d *dialers) advertise(m *member) {
+	if m.advertised {
 		return
 	}
-	m.told = true
+	m.advertised = true
 	news := []wire.Peer{{Addr: m.addr, DataCentre: m.dataCentre}}
 	for _, other := range d.known {
 		if other != m && other.session != nil {
@@ -152,75 +154,77 @@
 	}
 }
 
-// left notes that an entry takes no new submissions. Its session stays: it still
-// needs targets for what it has accepted.
-func (d *dialers) left(s *entrySession) {
+// markLeaving records that an entry accepts no new submissions. Its session stays open: the
+// entry still needs targets for the jobs that it has accepted.
+func (d *dialers) markLeaving(s *entrySession) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m := d.known[s.addr]; m != nil && m.session == s {
 		m.leaving = true
-		d.wake()
+		d.requestPlan()
 	}
 }
 
-// ended notes that a connection has ended or could not be made.
-func (d *dialers) ended(ctx context.Context, m *member, alias bool) {
+// connectionEnded records that a connection has ended or could not be made, or that its
+// address proved to be an alias.
+func (d *dialers) connectionEnded(ctx context.Context, m *member, alias bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() != nil {
-		return // the agent ended it
+		return // the agent closed it
 	}
 	m.session, m.alias = nil, m.alias || alias
 	if m.failingSince.IsZero() {
 		m.failingSince = time.Now()
 	}
-	d.wake()
+	d.requestPlan()
 }
 
-// run keeps the sessions with the entries that are chosen until the agent ends.
+// run maintains the selection of entries and their sessions until the agent stops.
 func (d *dialers) run() {
-	tick := time.NewTicker(planEvery)
+	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	for {
 		d.plan(time.Now())
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-d.kick:
+		case <-d.replan:
 		case <-tick.C:
 		}
 	}
 }
 
-// plan dials the entries that are chosen and gives up the sessions that others
-// have taken the place of.
+// plan dials the selected entries, and closes the sessions of others that are no longer needed
+// as substitutes.
 func (d *dialers) plan(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ctx.Err() != nil {
 		return
 	}
-	whole := true
+	allConnected := true
 	chosen := d.choose(now)
 	for _, addr := range chosen {
 		m := d.known[addr]
 		m.surplusSince = time.Time{}
-		whole = whole && m.session != nil
+		allConnected = allConnected && m.session != nil
 		if m.cancel == nil {
-			d.dial(m)
+			d.startDialling(m)
 		}
 		if m.retiring {
 			m.retiring = false
-			d.retire(m.session, false)
+			d.setRetired(m.session, false)
 		}
 	}
 	for _, m := range d.known {
 		if m.session != nil && !m.alias && !m.down(now) && !slices.Contains(chosen, m.addr) {
-			d.surplus(now, m, whole)
+			d.handleSurplus(now, m, allConnected)
 		}
 	}
 }
 
+// choose returns the addresses of the selected entries, best first. The caller holds d.mu.
 func (d *dialers) choose(now time.Time) []string {
 	candidates := make([]subset.Candidate, 0, len(d.known))
 	for _, m := range d.known {
@@ -228,29 +232,30 @@
 			candidates = append(candidates, subset.Candidate{Addr: m.addr, DataCentre: m.dataCentre, Down: m.down(now)})
 		}
 	}
-	return subset.Choose(d.agent.o.Worker, d.agent.o.DataCentre, candidates, d.agent.o.entrySessions())
+	return subset.Choose(d.agent.options.Worker, d.agent.options.DataCentre, candidates, d.agent.options.entrySessions())
 }
 
-// surplus gives up a session that is not chosen, once the chosen ones have stood
-// for long enough.
-func (d *dialers) surplus(now time.Time, m *member, whole bool) {
+// handleSurplus retires the session of an entry that is not selected, after all selected
+// entries have been connected for d.surplusAfter. The caller holds d.mu.
+func (d *dialers) handleSurplus(now time.Time, m *member, allConnected bool) {
 	switch {
-	case m.surplusSince.IsZero() || !whole && !m.retiring:
+	case m.surplusSince.IsZero() || !allConnected && !m.retiring:
 		m.surplusSince = now
 	case now.Sub(m.surplusSince) > d.surplusAfter:
 		m.retiring = true
-		d.retire(m.session, true)
+		d.setRetired(m.session, true)
 	}
 }
 
-// retire takes credits back from an entry and closes the session once nothing
-// hangs on it. It is asked for again with each plan until then.
-func (d *dialers) retire(s *entrySession, on bool) {
+// setRetired starts or, with on false, cancels the retirement of a session. It recalls the
+// credits of the entry and closes the session once the entry can start nothing on it and all
+// reports are acknowledged. Each plan calls it again until then.
+func (d *dialers) setRetired(s *entrySession, on bool) {
 	if s == nil {
 		return
 	}
-	// A goroutine of its own, because the control goroutine may be waiting for the
-	// lock that is held here. The error means that the process ends.
+	// Runs in a goroutine because the control goroutine may be waiting for the lock that is
+	// held here. The error means that the process is stopping.
 	go func() {
 		_ = s.control.Push(func(_ time.Time, st *state) {
 			st.table.SetRetired(s.id, on)
@@ -261,7 +266,8 @@
 	}()
 }
 
-// close ends a session for good, unless it was chosen again meanwhile.
+// close closes the session of a retired entry and stops dialling it, unless the entry has been
+// selected again.
 func (d *dialers) close(s *entrySession) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -275,9 +281,10 @@
 	m.cancel, m.session, m.retiring, m.surplusSince = nil, nil, false, time.Time{}
 }
 
-// memberCounts are the figures of GET /metrics.
-type memberCounts struct{ known, connected, home, down int64 }
+// memberCounts holds the numbers of entries for GET /metrics.
+type memberCounts struct{ known, connected, local, down int64 }
 
+// counts returns the current numbers. An alias counts as known, but never as down.
 func (d *dialers) counts() memberCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -287,8 +294,8 @@
 		n.known++
 		if m.session != nil {
 			n.connected++
-			if m.dataCentre == d.agent.o.DataCentre {
-				n.home++
+			if m.dataCentre == d.agent.options.DataCentre {
+				n.local++
 			}
 		}
 		if !m.alias && m.down(now) {
--- a/internal/agent/members_test.go
+++ b/internal/agent/members_test.go
@@ -12,8 +12,8 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// lose takes an entry away, as the death of its process does.
-func (e *fakeEntry) lose() {
+// crash closes the server and the connections of an entry, as the death of its process does.
+func (e *fakeEntry) crash() {
 	e.server.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -22,8 +22,8 @@
 	}
 }
 
-// live is the entry's connection that is open, or nil.
-func (e *fakeEntry) live() *fakeConn {
+// openConn returns the open connection of the entry, or nil.
+func (e *fakeEntry) openConn() *fakeConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.conns {
@@ -41,27 +41,27 @@
 		entries []*fakeEntry
 		agent   *Agent
 	)
-	connected := func() (n []*fakeEntry) {
+	connected := func() (open []*fakeEntry) {
 		for _, e := range entries {
-			if e.live() != nil {
-				n = append(n, e)
+			if e.openConn() != nil {
+				open = append(open, e)
 			}
 		}
-		return n
+		return open
 	}
-	places := func() string {
-		var places []string
+	dataCentres := func() string {
+		var names []string
 		for _, e := range connected() {
-			places = append(places, e.dataCentre)
+			names = append(names, e.dataCentre)
 		}
-		return strings.Join(places, " ")
+		return strings.Join(names, " ")
 	}
 	BeforeEach(func() {
 		entries = nil
 		var addrs []string
-		for _, place := range []string{"here", "here", "here", "there", "there", "there"} {
+		for _, dataCentre := range []string{"here", "here", "here", "there", "there", "there"} {
 			e := newFakeEntry()
-			e.dataCentre = place
+			e.dataCentre = dataCentre
 			entries, addrs = append(entries, e), append(addrs, e.addr)
 		}
 		o := options(strings.Join(addrs, ","))
@@ -72,30 +72,30 @@
 		agent.dialers.surplusAfter = 50 * time.Millisecond
 		agent.Start()
 		DeferCleanup(func() { Expect(agent.Stop(context.Background())).To(Succeed()) })
-		Eventually(places, "10s").Should(Equal("here here here there"))
+		Eventually(dataCentres, "10s").Should(Equal("here here here there"))
 	})
 
-	// An entry dies and comes back. Meanwhile a substitute has begun a task here.
-	// Were its session closed when the entry is back, nobody would hear of the
-	// result, and the job would hang until its deadline.
-	It("takes a substitute for a lost entry and gives it up when nothing hangs on it", func() {
-		back := startTarget(agent)
+	// An entry dies and comes back while a substitute has begun a task here. If the session of
+	// the substitute were closed on the return, the result would be lost and the job would
+	// hang until its deadline.
+	It("connects to a substitute for a lost entry and drops it once its tasks are settled", func() {
+		standin := startTarget(agent)
 		DeferCleanup(func() {
 			ended, cancel := context.WithCancel(context.Background())
 			cancel()
-			_ = back.Stop(ended) // ends at once
+			_ = standin.Stop(ended) // ends at once
 		})
 		var before, substitute *fakeEntry
 		before = connected()[3]
-		entries[0].lose()
-		Eventually(places, "10s").Should(Equal("here here there there"))
+		entries[0].crash()
+		Eventually(dataCentres, "10s").Should(Equal("here here there there"))
 		for _, e := range connected()[2:] {
 			if e != before {
 				substitute = e
 			}
 		}
-		conn := substitute.live()
-		conn.Send(&wire.ToAgent{Demand: &wire.Demand{Waiting: 1}}) // others hold the two slots
+		conn := substitute.openConn()
+		conn.Send(&wire.ToAgent{Demand: &wire.Demand{Waiting: 1}}) // the other entries hold credits for the two slots
 		Eventually(func() uint64 { conn.mu.Lock(); defer conn.mu.Unlock(); return conn.total }, "10s").Should(BeNumerically(">", 0))
 		conn.mu.Lock()
 		conn.spent++
@@ -105,20 +105,20 @@
 		lost := entries[0]
 		entries[0] = newFakeEntryAt(lost.addr)
 		entries[0].dataCentre = "here"
-		Eventually(places, "10s").Should(Equal("here here here there there"))
+		Eventually(dataCentres, "10s").Should(Equal("here here here there there"))
 		Expect(conn.report(1).State).To(Equal(wire.Succeeded))
-		Consistently(substitute.live, "300ms").Should(Equal(conn)) // until the report is acknowledged
+		Consistently(substitute.openConn, "300ms").Should(Equal(conn)) // until the report is acknowledged
 		conn.Send(&wire.ToAgent{Acks: []uint64{1}, Settled: 2})
-		Eventually(places, "10s").Should(Equal("here here here there"))
-		Expect(substitute.live()).To(BeNil())
+		Eventually(dataCentres, "10s").Should(Equal("here here here there"))
+		Expect(substitute.openConn()).To(BeNil())
 	})
 
-	// An operator drains an entry. Its agents must be with others before it ends, but
-	// it still needs targets for what it has accepted.
-	It("looks for another entry when one leaves, and stays until that ends", func() {
-		leaving := entries[1].live()
+	// An operator drains an entry. Its agents must have connected to others before it stops,
+	// but it still needs targets for the jobs that it has accepted.
+	It("connects to another entry when one is leaving, and keeps the session until that one ends", func() {
+		leaving := entries[1].openConn()
 		leaving.Send(&wire.ToAgent{Leaving: true})
-		Eventually(places, "10s").Should(Equal("here here here there there"))
-		Consistently(entries[1].live, "300ms").Should(Equal(leaving))
+		Eventually(dataCentres, "10s").Should(Equal("here here here there there"))
+		Consistently(entries[1].openConn, "300ms").Should(Equal(leaving))
 	})
 })
--- a/internal/agent/module.go
+++ b/internal/agent/module.go
@@ -9,8 +9,8 @@
 	"github.com/camphorrack/camphorrack/internal/daemon"
 )
 
-// Module wires the daemon for fx. A drain that an operator asked for ends the
-// program like a signal does.
+// Module returns the fx module that runs the daemon with these settings. A drain that an
+// operator has requested ends the program, as a signal does.
 func Module(o *Options) fx.Option {
 	return daemon.Program[*Agent]{
 		Name: Program, LogLevel: o.LogLevel, StopTimeout: o.DrainTimeout + 2*closeTimeout,
--- a/internal/agent/options.go
+++ b/internal/agent/options.go
@@ -1,10 +1,10 @@
-// Package agent is the daemon beside a target. It takes the target's
-// announcements, dials every entry it knows, runs tasks on the target and reports
-// how they ended.
+// Package agent is the daemon beside a target. It accepts the target's announcements, dials
+// the selected entries among those it knows, runs tasks on the target and reports their
+// outcomes.
 //
-// The control state (internal/attempt and the tables beside it) belongs to one
-// goroutine; connections, calls to the target and HTTP requests run on others and
-// hand it commands through a channel.
+// The control state (internal/attempt and the tables beside it) belongs to one goroutine.
+// Connections, calls to the target and HTTP requests run on other goroutines and send it
+// commands through a channel.
 package agent
 
 import (
@@ -18,16 +18,16 @@
 	"github.com/camphorrack/camphorrack/internal/settings"
 )
 
-// Program is the daemon's name.
+// Program is the daemon's name in usage, logs and errors.
 const Program = "camphorrack-agent"
 
-// Options are the daemon's settings.
+// Options are the daemon's settings. Their flags are defined in Define.
 type Options struct {
 	Listen        string
 	Worker        string // name of the worker the agent runs on
 	DataCentre    string
 	Rack          string
-	Entries       string // addresses of entries, comma separated
+	Entries       string // initial addresses of entries, as ip:port, comma separated
 	MaxEntries    int
 	EntrySessions int // 0 means subset.DefaultSessions
 	Policy        string
@@ -37,12 +37,12 @@
 	DrainTimeout  time.Duration
 }
 
-// defaultProcessors keeps the agent small on a host of many cores. With a runtime
-// spread over all of them, each of its short steps wakes an idle one, which costs
-// more than the step and disturbs the target beside it.
+// defaultProcessors keeps the agent small on a host with many cores. If the runtime used all
+// of them, each short step would wake an idle core, which costs more than the step and
+// disturbs the target.
 const defaultProcessors = 2
 
-// Define adds the daemon's settings to a set and returns where they will be read to.
+// Define adds the daemon's flags to a set and returns the options that s.Load fills.
 func Define(s *settings.Set) *Options {
 	o := &Options{}
 	s.StringVar(&o.Listen, "listen", "127.0.0.1:7500", "address for the target's announcements and for operators")
@@ -57,11 +57,12 @@
 	s.IntVar(&o.LogLevel, "log-level", logging.LevelInfo, "0: events, 1: every decision, 2: debugging")
 	s.BoolVar(&o.CrashOnBreach, "crash-on-breach", false, "end the process when an invariant is broken")
 	s.DurationVar(&o.DrainTimeout, "drain-timeout", time.Minute, "longest graceful shutdown")
-	o.check(s)
+	o.addChecks(s)
 	return o
 }
 
-func (o *Options) check(s *settings.Set) {
+// addChecks registers the validation of the flags.
+func (o *Options) addChecks(s *settings.Set) {
 	s.AddCheck("listen", func() string { return settings.CheckAddr(o.Listen) })
 	s.AddCheck("worker", func() string {
 		return settings.MessageIf(o.Worker == "" || len(o.Worker) > job.MaxNameBytes, "takes 1 to 64 bytes")
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// probeEvery is how often an agent asks through a balancer which entry answers.
-	// 5,700 agents ask about 100 times a second in all, 3 times an entry, so a new
-	// entry behind the balancer is found by some agent within about a second, and
-	// the others are told by the entries that they know.
-	probeEvery   = time.Minute
-	probeTimeout = time.Second
-	// maxProbeBytes caps the answer, of which two names are read.
+	// probeInterval is the mean time between requests by which an agent asks through a load
+	// balancer which entry answers. 5,700 agents send about 100 requests a second in all, 3 a
+	// second per entry, so some agent finds a new entry behind the balancer within about a
+	// second. The others learn it from the entries that they know.
+	probeInterval = time.Minute
+	probeTimeout  = time.Second
+	// maxProbeBytes limits the answer, of which two fields are read.
 	maxProbeBytes = 64 << 10
 )
 
-// probeWait spreads the probes of agents that were started at the same time.
-func probeWait() time.Duration { return probeEvery/2 + rand.N(probeEvery) }
+// randomProbeDelay returns 0.5 to 1.5 probe intervals, to spread the probes of agents that
+// were started together.
+func randomProbeDelay() time.Duration { return probeInterval/2 + rand.N(probeInterval) }
 
-// probe asks which entry answers behind a balancer and learns its own address.
-// Nothing else tells agents of an entry that was added behind the balancer and
-// named to nobody; it would own submissions and have no targets for them.
+// probe asks for the status of the entry that answers behind a load balancer, and learns its
+// own address. Otherwise no agent would learn of an entry that was added behind the balancer
+// and configured nowhere; it would own submissions and have no targets for them.
 func (d *dialers) probe(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -35,10 +36,10 @@
 	if err != nil {
 		return
 	}
-	request.Close = true // a kept connection would lead to the same entry again
+	request.Close = true // a reused connection would reach the same entry again
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return // the next probe may find one
+		return // the next probe may succeed
 	}
 	defer func() { _ = response.Body.Close() }()
 	var status struct {
--- a/internal/agent/proof.go
+++ b/internal/agent/proof.go
@@ -8,11 +8,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errSealed ends a write that comes after its call was judged.
+// errSealed is returned by writes on a sealed connection: its call has failed, or continued on
+// another connection.
 var errSealed = errors.New("the call was given up")
 
-// countedConn counts the writes that were begun on a connection to the target.
-type countedConn struct {
+// trackedConn is a connection to the target that counts the writes begun on it and can be
+// sealed.
+type trackedConn struct {
 	net.Conn
 
 	mu     sync.Mutex
@@ -21,7 +23,7 @@
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
@@ -32,71 +34,74 @@
 	return c.Conn.Write(b)
 }
 
-func (c *countedConn) begun() uint64 {
+// writeCount returns how many writes have begun.
+func (c *trackedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal stops all later writes and returns how many were begun before.
-func (c *countedConn) seal() uint64 {
+// seal makes all later writes fail, and returns how many had begun before.
+func (c *trackedConn) seal() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
 	return c.writes
 }
 
-// proof tells whether any byte of a request may have left this process.
+// writeTracker determines whether any byte of a request may have left this process.
 //
-// The transport's errors don't say that reliably: a connection that the target
-// has just closed, a cancelled call and a lost answer look alike. Calling a task
-// "not run" that the target got would let it run twice; calling one "unknown" that
-// never left would fail jobs for nothing whenever a target restarts. So writes are
-// counted, and after a failure the connection is sealed: the transport writes in
-// another goroutine, which could still begin after the judgement.
-type proof struct {
-	mu        sync.Mutex
-	connected bool
-	conn      *countedConn
-	mark      uint64
-	written   bool
+// The errors of the transport do not show that reliably: a connection that the target has just
+// closed, a cancelled call and a lost answer look alike. If a task that the target received
+// were reported as "not run", it could run twice. If one that was never sent were reported as
+// "unknown", jobs would fail needlessly whenever a target restarts. So writes are counted, and
+// after a failure the connection is sealed: the transport writes in another goroutine, which
+// could still begin after the count was read.
+type writeTracker struct {
+	mu           sync.Mutex
+	connected    bool
+	conn         *trackedConn
+	writesBefore uint64
+	written      bool // bytes may have left the process
 }
 
-func (p *proof) trace() *httptrace.ClientTrace {
+func (p *writeTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { p.gotConn(info.Conn) }}
 }
 
-func (p *proof) gotConn(conn net.Conn) {
+// gotConn records the connection that the transport uses now, after sealing a previous one.
+func (p *writeTracker) gotConn(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.judge()
+	p.sealCurrent()
 	p.connected = true
-	counted, ok := conn.(*countedConn)
+	counted, ok := conn.(*trackedConn)
 	if !ok {
-		p.written = true // can't be told, so assume the worse
+		p.written = true // writes cannot be counted, so assume one
 		return
 	}
-	p.conn, p.mark = counted, counted.begun()
+	p.conn, p.writesBefore = counted, counted.writeCount()
 }
 
-func (p *proof) judge() {
-	if p.conn != nil && p.conn.seal() != p.mark {
+// sealCurrent seals the current connection and records whether the request was written to it.
+func (p *writeTracker) sealCurrent() {
+	if p.conn != nil && p.conn.seal() != p.writesBefore {
 		p.written = true
 	}
 	p.conn = nil
 }
 
-// nothingWritten reports, after the call has failed, whether the target can't
-// have got any of it.
-func (p *proof) nothingWritten() bool {
+// nothingWritten reports, after the call has failed, whether the target cannot have received
+// any byte of it. It seals the connection.
+func (p *writeTracker) nothingWritten() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.judge()
+	p.sealCurrent()
 	return !p.written
 }
 
-// gotNone reports whether the call never had a connection.
-func (p *proof) gotNone() bool {
+// neverConnected reports whether the transport never assigned a connection to the call.
+func (p *writeTracker) neverConnected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.connected
