--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -95,6 +95,7 @@
 		"incarnation", a.incarnation.String(), "data_centre", a.options.DataCentre, "rack", a.options.Rack, "policy", a.options.Policy)
 }
 
+// serve runs the HTTP server until Stop. If the server fails, it requests a shutdown.
 func (a *Agent) serve() {
 	if err := a.server.Serve(httpconn.NewLoggingListener(a.listener, a.log)); !errors.Is(err, http.ErrServerClosed) {
 		event.Log(a.log, event.ProcessStopping, "error", err.Error())
@@ -106,6 +107,7 @@
 // the HTTP server has failed. The process should then call Stop, as after a signal.
 func (a *Agent) ShutdownRequested() <-chan struct{} { return a.shutdownRequested }
 
+// requestShutdown closes shutdownRequested, once.
 func (a *Agent) requestShutdown() { a.shutdownOnce.Do(func() { close(a.shutdownRequested) }) }
 
 // beginDrain stops accepting new tasks, for good.
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -88,12 +88,14 @@
 	return a, a.Validate()
 }
 
+// handleDrain begins a drain, after which the process ends.
 func (a *Agent) handleDrain(g *gin.Context) {
 	a.beginDrain()
 	a.requestShutdown()
 	g.JSON(http.StatusOK, struct{}{})
 }
 
+// handleHealth responds with 200, or with the fault Draining once a drain has begun.
 func (a *Agent) handleHealth(g *gin.Context) {
 	if a.draining.Load() {
 		g.JSON(http.StatusServiceUnavailable, failure{fault.New(fault.Draining, "")})
--- a/internal/agent/caller.go
+++ b/internal/agent/caller.go
@@ -121,6 +121,7 @@
 	return callResult{Outcome: readResponse(response)}
 }
 
+// notRunOutcome returns the outcome of a task that the target cannot have received.
 func notRunOutcome(err error) attempt.Outcome {
 	return attempt.Outcome{State: wire.NotRun, Reason: wire.ReasonTargetUnavailable, Detail: err.Error()}
 }
--- a/internal/agent/caller_test.go
+++ b/internal/agent/caller_test.go
@@ -49,10 +49,12 @@
 	return listener.Addr().String()
 }
 
+// task returns the start of task n of a job named "job".
 func task(n int) *wire.Start {
 	return &wire.Start{Seq: 1, Job: "job", Task: n, Class: "check", Payload: []byte("payload")}
 }
 
+// callOnce runs a task on the target at address with a new client.
 func callOnce(address string, s *wire.Start) attempt.Outcome {
 	c := newTargetClient(address, 4)
 	defer c.close()
--- a/internal/agent/dialers.go
+++ b/internal/agent/dialers.go
@@ -122,6 +122,7 @@
 	return false
 }
 
+// newBackoff returns the retry delays of one entry, which never run out.
 func newBackoff() *backoff.ExponentialBackOff {
 	return backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(initialRetryDelay),
--- a/internal/agent/entrysession.go
+++ b/internal/agent/entrysession.go
@@ -51,6 +51,7 @@
 	return err
 }
 
+// hello returns the first frame of the agent. It runs on the control goroutine.
 func (s *entrySession) hello(st *state) *wire.ToEntry {
 	return &wire.ToEntry{Hello: &wire.Hello{
 		Version:     wire.Version,
@@ -148,6 +149,7 @@
 	})
 }
 
+// logEnd logs the end of the connection as an event that depends on the cause.
 func (s *entrySession) logEnd(err error) {
 	var closed *session.CloseError
 	var protocol *attempt.ProtocolError
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -40,7 +40,7 @@
 	openedAt     time.Time
 	failingSince time.Time // zero while it is healthy
 	surplusSince time.Time // zero while it is selected
-	retiring     bool
+	retiring     bool      // its session is to be closed as soon as that is safe
 }
 
 // down reports whether a substitute should take the place of the entry at now.
