--- a/internal/attempt/bench_test.go
+++ b/internal/attempt/bench_test.go
@@ -8,25 +8,26 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// sink is an Outbox that keeps only what the benchmark must answer.
-type sink struct {
+// benchOutbox is an Outbox that keeps only the calls and the credits that the benchmarks
+// need.
+type benchOutbox struct {
 	running []attempt.Key
 	granted uint64
 }
 
-func (s *sink) Close(attempt.ConnID)            {}
-func (s *sink) Abort(attempt.Key)               {}
-func (s *sink) Run(k attempt.Key, _ wire.Start) { s.running = append(s.running, k) }
-func (s *sink) Send(_ attempt.ConnID, f *wire.ToEntry) {
+func (s *benchOutbox) Close(attempt.ConnID)            {}
+func (s *benchOutbox) Abort(attempt.Key)               {}
+func (s *benchOutbox) Run(k attempt.Key, _ wire.Start) { s.running = append(s.running, k) }
+func (s *benchOutbox) Send(_ attempt.ConnID, f *wire.ToEntry) {
 	if f.Credits != nil {
 		s.granted = f.Credits.Total
 	}
 }
 
-// BenchmarkAttempt takes one attempt after the other from start to settled, with
-// a flush after each step as on a target that is lightly loaded.
+// BenchmarkAttempt takes one attempt after another from start to settled, with a flush
+// after each step as on a lightly loaded target.
 func BenchmarkAttempt(b *testing.B) {
-	out := &sink{}
+	out := &benchOutbox{}
 	table := newTable(out, attempt.Grants, 8)
 	table.Connect(epoch, 1, &wire.Welcome{Incarnation: ownerA})
 	table.Flush()
@@ -46,17 +47,17 @@
 	}
 }
 
-// BenchmarkRemembered reports the memory of an attempt that has ended and is not
-// acknowledged (report), and of one that is but not yet settled (tombstone).
+// BenchmarkRemembered reports the memory per finished attempt in bytes: B/report while it
+// is unacknowledged, B/tombstone while it is acknowledged but not settled.
 func BenchmarkRemembered(b *testing.B) {
 	for b.Loop() {
 		const count = 1 << 16
-		out := &sink{}
+		out := &benchOutbox{}
 		table := newTable(out, attempt.Grants, 8)
 		table.Connect(epoch, 1, &wire.Welcome{Incarnation: ownerA})
 		table.Flush()
 		acks := make([]uint64, 0, count)
-		before := heap()
+		before := heapBytes()
 		for seq := uint64(1); seq <= count; seq++ {
 			if err := table.Receive(epoch, 1, &wire.ToAgent{Starts: []wire.Start{start(seq)}}); err != nil {
 				b.Fatal(err)
@@ -66,16 +67,16 @@
 			acks = append(acks, seq)
 			table.Flush()
 		}
-		b.ReportMetric(float64(heap()-before)/count, "B/report")
+		b.ReportMetric(float64(heapBytes()-before)/count, "B/report")
 		if err := table.Receive(epoch, 1, &wire.ToAgent{Acks: acks}); err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(heap()-before)/count, "B/tombstone")
+		b.ReportMetric(float64(heapBytes()-before)/count, "B/tombstone")
 		runtime.KeepAlive(table)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/attempt/board.go
+++ b/internal/attempt/board.go
@@ -12,24 +12,24 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// attempt is what the agent knows of one attempt. An acknowledged one is replaced
-// by a shared tombstone.
+// attempt is the agent's record of one attempt. Once its final report is acknowledged,
+// it is replaced by a shared tombstone to save memory.
 type attempt struct {
-	state     wire.AttemptState
-	reason    wire.Reason
-	cancelled bool
-	forget    bool // settled while it still ran: nobody asks for its report
-	demand    job.Demand
-	sentOn    ConnID // connection that carries the final report already
-	deadline  time.Time
-	start     *wire.Start // only while Waiting
-	result    []byte
-	detail    string
-	runMs     float64
+	state         wire.AttemptState
+	reason        wire.Reason
+	cancelled     bool
+	discardReport bool // settled while running: its owner needs no report
+	demand        job.Demand
+	reportedOn    ConnID // connection on which the final report was queued
+	deadline      time.Time
+	start         *wire.Start // only while Waiting
+	result        []byte
+	detail        string
+	runMs         float64
 }
 
-// Tombstones of acknowledged attempts. They differ so that an attempt that ran
-// can never be reported as not run, whatever is asked later.
+// Tombstones of acknowledged attempts. There are two, so that no later query can make
+// the agent report an attempt that ran as not run.
 var (
 	tombstoneRan    = &attempt{state: wire.Unknown, detail: "settled before"}
 	tombstoneNotRun = &attempt{state: wire.NotRun, reason: wire.ReasonStale}
@@ -37,142 +37,145 @@
 
 func (a *attempt) isTombstone() bool { return a == tombstoneRan || a == tombstoneNotRun }
 
-// bytes is the memory that the report's variable part takes.
-func (a *attempt) bytes() int { return len(a.result) + len(a.detail) }
+// reportBytes returns the size in bytes of the variable part of the report.
+func (a *attempt) reportBytes() int { return len(a.result) + len(a.detail) }
 
 // owner is the state of one entry incarnation at this agent.
 type owner struct {
-	incarnation job.Incarnation
-	conn        ConnID // 0 while disconnected
-	newest      ConnID // the newest that ever counted
-	goneAt      time.Time
-
-	attempts map[uint64]*attempt
-	highest  uint64 // highest attempt number heard of
-	settled  uint64 // numbers below are settled at the owner
-	// forgotten: numbers up to here without a record have an unknown past.
-	forgotten uint64
-	unacked   int // final attempts whose report is not acknowledged
-	bytes     int // of their results
-
-	credits credits
-	waiting int // tasks waiting at the owner, as it last said
-
-	// What the next flush sends.
-	reports     []wire.Report
-	sendCredits bool
-	recallNow   int
-	sendTarget  bool
+	incarnation    job.Incarnation
+	conn           ConnID // 0 while disconnected
+	newestConn     ConnID // highest id that was ever active
+	disconnectedAt time.Time
+
+	attempts     map[uint64]*attempt
+	highestSeq   uint64 // highest attempt number received
+	settledBelow uint64 // attempts with lower numbers are settled at the owner
+	// forgottenThrough is the highest attempt number whose record may have been
+	// dropped: without a record, an attempt up to it may or may not have run.
+	forgottenThrough uint64
+	unackedReports   int // final attempts whose report is unacknowledged
+	unackedBytes     int // size of the variable part of their reports
+
+	credits      credits
+	waitingTasks int // tasks waiting at the owner, as last reported by it
+
+	// Sent by the next flush.
+	pendingReports []wire.Report
+	sendCredits    bool
+	pendingRecall  int
+	sendTarget     bool
 }
 
-// credits counts from the start of the owner's connection.
+// credits counts an owner's credits since the start of its connection.
 type credits struct {
 	granted, spent, returned uint64
 }
 
 func (c *credits) unspent() int { return int(c.granted - c.spent - c.returned) }
 
-// board is the blackboard that the controllers share.
-type board struct {
+// tableState is the blackboard that the controllers share: all state of a Table.
+type tableState struct {
 	log    logr.Logger
 	out    Outbox
 	policy Policy
 	now    time.Time
 
-	owners    map[job.Incarnation]*owner
-	conns     map[ConnID]*owner
-	connected []*owner // in order of connecting, so that decisions don't hang on map order
-	// past holds the highest attempt number of owners that are gone and hold
-	// nothing here any more: about 50 bytes an incarnation, never dropped, because
+	owners      map[job.Incarnation]*owner
+	ownerByConn map[ConnID]*owner
+	connected   []*owner // in order of connecting, so that decisions don't depend on map order
+	// departedHighestSeq holds the highest attempt number of each disconnected owner
+	// without records. Each takes about 50 bytes and is never dropped, because
 	// answering "never seen" for an attempt that ran would let it run again.
-	past map[job.Incarnation]uint64
+	departedHighestSeq map[job.Incarnation]uint64
 
 	target       wire.Target
 	draining     bool
 	leavingSince time.Time
 
-	sharer    *grants.Allocator
-	changes   []grants.Change // reused by each grant
-	running   int
-	inUse     job.Demand
-	queue     []Key // waiting attempts, first come first served; Push only
-	runningBy map[Key]*attempt
+	allocator       *grants.Allocator
+	creditChanges   []grants.Change // buffer reused by each rebalance
+	runningCount    int
+	resourcesInUse  job.Demand
+	startQueue      []Key // waiting attempts in FIFO order; Push only
+	runningAttempts map[Key]*attempt
 
-	granted  uint64 // credits ever granted, for Status
-	finished uint64 // calls ever finished, for Status
-	history  history
+	grantedCredits uint64 // since the start, for Status
+	finishedCalls  uint64 // since the start, for Status
+	history        history
 }
 
-func newBoard(o Options) *board {
-	return &board{
-		log:       o.Log.WithValues("agent", o.Incarnation.String()),
-		out:       o.Outbox,
-		policy:    o.Policy,
-		owners:    map[job.Incarnation]*owner{},
-		conns:     map[ConnID]*owner{},
-		past:      map[job.Incarnation]uint64{},
-		target:    wire.Target{Down: true},
-		sharer:    grants.NewAllocator(),
-		runningBy: map[Key]*attempt{},
+func newTableState(o Options) *tableState {
+	return &tableState{
+		log:                o.Log.WithValues("agent", o.Incarnation.String()),
+		out:                o.Outbox,
+		policy:             o.Policy,
+		owners:             map[job.Incarnation]*owner{},
+		ownerByConn:        map[ConnID]*owner{},
+		departedHighestSeq: map[job.Incarnation]uint64{},
+		target:             wire.Target{Down: true},
+		allocator:          grants.NewAllocator(),
+		runningAttempts:    map[Key]*attempt{},
 	}
 }
 
-// ownerFor returns the owner's state, made new or brought back.
-func (b *board) ownerFor(id job.Incarnation) *owner {
-	if o := b.owners[id]; o != nil {
+// ownerFor returns the state of the owner with this id. It creates it if needed; for an
+// owner whose records were dropped, all earlier attempt numbers count as forgotten.
+func (s *tableState) ownerFor(id job.Incarnation) *owner {
+	if o := s.owners[id]; o != nil {
 		return o
 	}
 	o := &owner{incarnation: id, attempts: map[uint64]*attempt{}}
-	if highest, known := b.past[id]; known {
-		delete(b.past, id)
-		o.highest, o.forgotten = highest, highest
+	if highest, known := s.departedHighestSeq[id]; known {
+		delete(s.departedHighestSeq, id)
+		o.highestSeq, o.forgottenThrough = highest, highest
 	}
-	b.owners[id] = o
+	s.owners[id] = o
 	return o
 }
 
-// announced is the target's state as owners should see it.
-func (b *board) announced() wire.Target {
-	t := b.target
-	t.Leaving = t.Leaving || b.draining
+// announcedTarget returns the target's state as announced to owners, which is leaving
+// while the agent drains.
+func (s *tableState) announcedTarget() wire.Target {
+	t := s.target
+	t.Leaving = t.Leaving || s.draining
 	return t
 }
 
-// takesWork reports whether slots may be granted.
-func (b *board) takesWork() bool {
-	return !b.target.Down && !b.target.Leaving && !b.draining
+// acceptsWork reports whether slots may be granted and queued starts may begin.
+func (s *tableState) acceptsWork() bool {
+	return !s.target.Down && !s.target.Leaving && !s.draining
 }
 
-func (b *board) setTarget(t wire.Target) {
-	if sameTarget(&b.target, &t) {
+func (s *tableState) setTarget(t wire.Target) {
+	if sameTarget(&s.target, &t) {
 		return
 	}
-	b.target = t
-	b.noteLeaving()
-	b.tellTarget()
+	s.target = t
+	s.updateLeavingSince()
+	s.queueTargetUpdate()
 }
 
-func (b *board) drain() {
-	if b.draining {
+func (s *tableState) drain() {
+	if s.draining {
 		return
 	}
-	b.draining = true
-	b.noteLeaving()
-	b.tellTarget()
+	s.draining = true
+	s.updateLeavingSince()
+	s.queueTargetUpdate()
 }
 
-func (b *board) noteLeaving() {
-	leaving := b.target.Leaving || b.draining
+func (s *tableState) updateLeavingSince() {
+	leaving := s.target.Leaving || s.draining
 	switch {
 	case !leaving:
-		b.leavingSince = time.Time{}
-	case b.leavingSince.IsZero():
-		b.leavingSince = b.now
+		s.leavingSince = time.Time{}
+	case s.leavingSince.IsZero():
+		s.leavingSince = s.now
 	}
 }
 
-func (b *board) tellTarget() {
-	for _, o := range b.connected {
+func (s *tableState) queueTargetUpdate() {
+	for _, o := range s.connected {
 		o.sendTarget = true
 	}
 }
@@ -182,10 +185,10 @@
 		a.Leaving == b.Leaving && a.Down == b.Down && slices.Equal(a.Classes, b.Classes)
 }
 
-// decisions returns the log for decision lines and whether they are wanted.
-// Callers ask first: building the values of a line that nobody reads would cost
-// more than the decision.
-func (b *board) decisions() (logr.Logger, bool) {
-	log := b.log.V(logging.LevelDecision)
+// decisionLog returns the logger for decisions and whether its level is enabled.
+// Callers check that first, because building the values of a line that is not written
+// would cost more than the decision.
+func (s *tableState) decisionLog() (logr.Logger, bool) {
+	log := s.log.V(logging.LevelDecision)
 	return log, log.Enabled()
 }
--- a/internal/attempt/connector.go
+++ b/internal/attempt/connector.go
@@ -6,24 +6,24 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// connector keeps, for each owner, the one connection that counts.
+// connector tracks the active connection of each owner, which is its newest one.
 //
-// A connection whose middle has lost track of it can still deliver, minutes
-// later, a start that the owner has long given up or moved. Users would notice a
-// task that ran twice. Only frames on the newest connection are obeyed, so an
-// owner that has been welcomed anew and has asked about its attempts there knows
-// that nothing older can still begin.
+// A connection that a middlebox has lost track of can still deliver, minutes later, a
+// start that the owner has since given up or moved, and the task would run twice. Frames
+// on any other connection are therefore ignored: once an owner has completed the
+// handshake on a new connection and queried its attempts there, no earlier start can
+// begin any more.
 type connector struct {
-	*board
-	settler  settler
-	reporter reporter
-	keeper   keeper
-	granter  granter
+	*tableState
+	settler   settler
+	reporter  reporter
+	retention retention
+	granter   granter
 }
 
 func (c connector) connect(conn ConnID, id job.Incarnation) {
 	o := c.ownerFor(id)
-	if conn <= o.newest {
+	if conn <= o.newestConn {
 		c.out.Close(conn)
 		return
 	}
@@ -32,36 +32,36 @@
 		c.disconnect(old)
 		c.out.Close(old)
 	}
-	o.conn, o.newest = conn, conn
-	o.waiting = 0
-	c.granter.up(o)
+	o.conn, o.newestConn = conn, conn
+	o.waitingTasks = 0
+	c.granter.addOwner(o)
 	o.sendTarget = true
 	o.sendCredits = true
-	c.conns[conn] = o
+	c.ownerByConn[conn] = o
 	c.connected = append(c.connected, o)
 	for _, other := range c.connected {
-		other.sendCredits = true // the number of owners changed
+		other.sendCredits = true // each credit frame carries the number of owners
 	}
-	c.reporter.repeatFinal(o)
-	c.history.add(c.now, stepConnect, Key{Owner: id}, int(conn))
+	c.reporter.requeueUnacknowledged(o)
+	c.history.add(c.now, opConnect, Key{Owner: id}, int(conn))
 }
 
 func (c connector) disconnect(conn ConnID) {
-	o := c.conns[conn]
+	o := c.ownerByConn[conn]
 	if o == nil {
 		return
 	}
-	c.history.add(c.now, stepDisconnect, Key{Owner: o.incarnation}, o.credits.unspent())
-	delete(c.conns, conn)
+	c.history.add(c.now, opDisconnect, Key{Owner: o.incarnation}, o.credits.unspent())
+	delete(c.ownerByConn, conn)
 	c.connected = slices.DeleteFunc(c.connected, func(other *owner) bool { return other == o })
 	for _, other := range c.connected {
 		other.sendCredits = true
 	}
-	c.settler.dropWaiting(o)
-	c.granter.down(o)
+	c.settler.rejectWaiting(o)
+	c.granter.removeOwner(o)
 	o.conn = 0
-	o.goneAt = c.now
-	o.reports, o.sendCredits, o.recallNow, o.sendTarget = nil, false, 0, false
-	// o.credits stays: a drain waits a little for an owner that may have spent them.
-	c.keeper.trim()
+	o.disconnectedAt = c.now
+	o.pendingReports, o.sendCredits, o.pendingRecall, o.sendTarget = nil, false, 0, false
+	// o.credits stays: a drain waits for a while for an owner that may have spent them.
+	c.retention.enforceRetainedBytes()
 }
--- a/internal/attempt/intake.go
+++ b/internal/attempt/intake.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// leavingGrace is how long a start that crossed the recall on its way is still
-	// taken. Refusing it at once would waste a message that the owner sent in good
-	// faith; taking it for much longer would let an owner that was paused with
-	// credits give new work to a target that is about to end.
+	// leavingGrace is how long after the target begins to leave a start is still
+	// accepted, because it may have been sent before the recall of its credit arrived.
+	// Refusing it at once would waste a message that was valid when sent; a much longer
+	// grace would let an owner that was paused with credits start new work on a target
+	// that is about to exit.
 	leavingGrace = time.Second
-	// maxRemembered caps the attempts of one owner that are not settled. One start
-	// that hangs keeps all later numbers from being settled, so this is far above
-	// the tasks in flight at a target: an hour of 8 slots at 250 ms.
-	maxRemembered = 1 << 17
-	// maxWaiting caps the queue of the push policy, so that a flood of starts
-	// costs a refusal and not the agent's memory.
-	maxWaiting = 1 << 14
+	// maxUnsettled caps the unsettled attempts of one owner. A single attempt that hangs
+	// keeps all later ones from being settled, so the cap is far above the number of
+	// tasks in flight at a target: it lasts for an hour with 8 slots and tasks of 250 ms.
+	maxUnsettled = 1 << 17
+	// maxQueuedStarts caps the queue of the push policy: a flood of starts is refused
+	// instead of exhausting the agent's memory.
+	maxQueuedStarts = 1 << 14
 )
 
-// intake decides on each start: run it, let it wait, or refuse it for good.
+// intake decides whether a start runs, waits in the queue or is refused for good.
 type intake struct {
-	*board
+	*tableState
 	reporter reporter
 	runner   runner
 	granter  granter
 }
 
-// start takes one start. The error is a *ProtocolError.
+// start handles one start. A repeated start only has its state reported again. The
+// error is a *ProtocolError.
 func (i intake) start(o *owner, s *wire.Start) error {
 	if s.Seq == 0 {
 		return &ProtocolError{Owner: o.incarnation, Violation: ZeroSeq}
 	}
 	if a := o.attempts[s.Seq]; a != nil {
-		i.reporter.report(o, s.Seq, a)
+		i.reporter.queueReport(o, s.Seq, a)
 		return nil
 	}
 	if o.mayHaveForgotten(s.Seq) {
-		// It may have run before its record was dropped, so "not run" could be untrue.
-		i.reporter.reportForgotten(o, s.Seq)
+		// It may have run before its record was dropped, so "not run" could be false.
+		i.reporter.queueForgottenReport(o, s.Seq)
 		return nil
 	}
-	if len(o.attempts) >= maxRemembered {
+	if len(o.attempts) >= maxUnsettled {
 		return &ProtocolError{Owner: o.incarnation, Violation: TooManyUnsettled, Seq: s.Seq}
 	}
-	if err := i.granter.spend(o, s.Seq); err != nil {
+	if err := i.granter.spendCredit(o, s.Seq); err != nil {
 		return err
 	}
-	reason := i.refusal(o, s)
-	o.highest = max(o.highest, s.Seq)
+	reason := i.refusalReason(o, s)
+	o.highestSeq = max(o.highestSeq, s.Seq)
 	if reason != wire.ReasonNone {
 		i.refuse(o, s, reason)
 		return nil
@@ -60,28 +62,29 @@
 	return nil
 }
 
-// refusal returns why the start can't be taken, or ReasonNone.
-func (i intake) refusal(o *owner, s *wire.Start) wire.Reason {
+// refusalReason returns why the start must be refused, or ReasonNone.
+func (i intake) refusalReason(o *owner, s *wire.Start) wire.Reason {
 	switch {
-	case s.Seq <= o.highest:
-		// Numbers rise on a connection; one that doesn't was overtaken by a later
-		// start or asked about already, and its owner may have moved the task.
+	case s.Seq <= o.highestSeq:
+		// Numbers increase on a connection. A start that is not above the highest one
+		// arrived after a later start or after a query for it, and its owner may have
+		// moved the task.
 		return wire.ReasonStale
 	case s.DeadlineMs <= i.now.UnixMilli():
 		return wire.ReasonDeadlinePast
 	case i.target.Down:
 		return wire.ReasonTargetUnavailable
-	case i.pastLeaving():
+	case i.leavingGraceExpired():
 		return wire.ReasonLeaving
-	case i.policy == Push && len(i.queue) >= maxWaiting:
+	case i.policy == Push && len(i.startQueue) >= maxQueuedStarts:
 		return wire.ReasonTargetUnavailable
-	case i.policy == Push && i.running >= i.target.Slots:
-		return wire.ReasonNone // it waits and is looked at again when a slot is free
+	case i.policy == Push && i.runningCount >= i.target.Slots:
+		return wire.ReasonNone // queued; startQueued checks it again when a slot is free
 	}
-	return i.runner.unfit(s.Demand)
+	return i.runner.capacityReason(s.Demand)
 }
 
-func (i intake) pastLeaving() bool {
+func (i intake) leavingGraceExpired() bool {
 	if i.leavingSince.IsZero() {
 		return false
 	}
@@ -91,12 +94,12 @@
 func (i intake) refuse(o *owner, s *wire.Start, reason wire.Reason) {
 	a := &attempt{state: wire.NotRun, reason: reason}
 	o.attempts[s.Seq] = a
-	o.unacked++
-	i.granter.free()
-	i.history.add(i.now, stepRefuse, Key{o.incarnation, s.Seq}, int(reason))
-	if log, wanted := i.decisions(); wanted {
+	o.unackedReports++
+	i.granter.releaseSlot()
+	i.history.add(i.now, opRefuse, Key{o.incarnation, s.Seq}, int(reason))
+	if log, enabled := i.decisionLog(); enabled {
 		event.Log(log, event.AttemptRefused,
 			"owner", o.incarnation.String(), "attempt", s.Seq, "job", s.Job, "task", s.Task, "reason", reason)
 	}
-	i.reporter.report(o, s.Seq, a)
+	i.reporter.queueReport(o, s.Seq, a)
 }
--- a/internal/attempt/keeper.go
+++ b/internal/attempt/keeper.go
@@ -7,78 +7,80 @@
 )
 
 const (
-	// keepGone is how long final reports wait for an owner that went away. A cut
-	// that outlives it outlives nearly every sub-second task's deadline too, and
-	// then nobody waits for the result.
-	keepGone = 30 * time.Second
-	// maxKeptBytes caps the results kept for owners that went away, against a cut
-	// that takes many owners with large results at once.
-	maxKeptBytes = 8 << 20
-	// drainReconnect is how long a drained agent stays for an owner that lost its
-	// connection while it held credits or had reports due: enough for the session
-	// to be found silent and dialled anew twice.
-	drainReconnect = 5 * time.Second
+	// reportRetention is how long final reports are kept for a disconnected owner. A
+	// longer outage also exceeds the deadline of nearly every sub-second task, whose
+	// result is then no longer needed.
+	reportRetention = 30 * time.Second
+	// maxRetainedBytes caps the results kept for all disconnected owners, in case an
+	// outage disconnects many owners with large results at once.
+	maxRetainedBytes = 8 << 20
+	// drainReconnectTimeout is how long a drained agent waits for an owner that
+	// disconnected with unspent credits or unacknowledged reports. It is long enough for
+	// the session to time out and be redialled twice.
+	drainReconnectTimeout = 5 * time.Second
 )
 
-// keeper holds and drops what owners that went away left behind.
-type keeper struct{ *board }
+// retention limits how long and how much the agent keeps for disconnected owners.
+type retention struct{ *tableState }
 
-// expire forgets the reports of owners that are gone for too long.
-func (k keeper) expire() {
-	for _, o := range k.owners {
-		if o.conn == 0 && k.now.Sub(o.goneAt) > keepGone {
-			k.forget(o)
+// expire drops the records of owners disconnected for longer than reportRetention.
+func (r retention) expire() {
+	for _, o := range r.owners {
+		if o.conn == 0 && r.now.Sub(o.disconnectedAt) > reportRetention {
+			r.forget(o)
 		}
 	}
 }
 
-// trim forgets the longest gone owners' reports until the rest fits its bound.
-func (k keeper) trim() {
+// enforceRetainedBytes drops the records of the longest disconnected owners until the
+// rest fits within maxRetainedBytes.
+func (r retention) enforceRetainedBytes() {
 	for {
 		total := 0
 		var oldest *owner
-		for _, o := range k.owners {
-			if o.conn != 0 || o.bytes == 0 {
+		for _, o := range r.owners {
+			if o.conn != 0 || o.unackedBytes == 0 {
 				continue
 			}
-			total += o.bytes
-			if oldest == nil || o.goneAt.Before(oldest.goneAt) {
+			total += o.unackedBytes
+			if oldest == nil || o.disconnectedAt.Before(oldest.disconnectedAt) {
 				oldest = o
 			}
 		}
-		if total <= maxKeptBytes {
+		if total <= maxRetainedBytes {
 			return
 		}
-		k.forget(oldest)
+		r.forget(oldest)
 	}
 }
 
-// forget drops an owner's finished attempts. From then on the agent can't tell an
-// attempt that ran from one that never came, and answers "unknown" for both: an
-// untrue "not run" would make the owner start the task a second time.
-func (k keeper) forget(o *owner) {
-	o.forgotten = max(o.forgotten, o.highest)
+// forget drops an owner's finished attempts. From then on the agent can't distinguish
+// an attempt that ran from one that never arrived and reports both as unknown: a false
+// "not run" would make the owner start the task a second time.
+func (r retention) forget(o *owner) {
+	o.forgottenThrough = max(o.forgottenThrough, o.highestSeq)
 	for seq, a := range o.attempts {
 		if a.state != wire.Running {
 			delete(o.attempts, seq)
 		}
 	}
-	o.unacked, o.bytes = 0, 0
+	o.unackedReports, o.unackedBytes = 0, 0
 	if len(o.attempts) == 0 {
-		delete(k.owners, o.incarnation)
-		k.past[o.incarnation] = o.highest
+		delete(r.owners, o.incarnation)
+		r.departedHighestSeq[o.incarnation] = o.highestSeq
 	}
 }
 
-// mayHaveForgotten reports whether an attempt without a record may have run.
+// mayHaveForgotten reports whether an attempt without a record may have run before its
+// record was dropped.
 func (o *owner) mayHaveForgotten(seq uint64) bool {
-	return seq < o.settled || seq <= o.forgotten
+	return seq < o.settledBelow || seq <= o.forgottenThrough
 }
 
-// due reports whether a draining agent should wait for the owner.
-func (k keeper) due(o *owner) bool {
-	if o.unacked == 0 && o.credits.unspent() == 0 {
+// blocksDrain reports whether a draining agent must still wait for the owner.
+func (r retention) blocksDrain(o *owner) bool {
+	if o.unackedReports == 0 && o.credits.unspent() == 0 {
 		return false
 	}
-	return o.conn != 0 || k.now.Sub(o.goneAt) <= drainReconnect
+	return o.conn != 0 || r.now.Sub(o.disconnectedAt) <= drainReconnectTimeout
 }
--- a/internal/attempt/reporter.go
+++ b/internal/attempt/reporter.go
@@ -6,45 +6,46 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// maxReportBytes closes a frame of reports, well under wire.MaxFrameBytes: a
-// result has to fit beside it, and a heartbeat must not wait long behind it.
+// maxReportBytes is the size at which a frame takes no further report. It is well below
+// wire.MaxFrameBytes, because the last report's result may exceed it and a heartbeat
+// must not wait long behind the frame.
 const maxReportBytes = 1 << 20
 
-// reporter gathers what owners must hear and sends it in as few frames as it can.
-type reporter struct{ *board }
+// reporter queues updates for owners and sends them in as few frames as possible.
+type reporter struct{ *tableState }
 
-// report queues an attempt's state for its owner, if that is connected. A final
-// report goes out once a connection: what is under way there arrives, or the
-// connection breaks. A reconnected owner's query would else double every result.
-func (r reporter) report(o *owner, seq uint64, a *attempt) {
+// queueReport queues an attempt's state for its owner if that is connected. A final
+// report is sent only once per connection: it either arrives or the connection breaks.
+// Otherwise a reconnected owner's query would have every result sent twice.
+func (r reporter) queueReport(o *owner, seq uint64, a *attempt) {
 	if o.conn == 0 {
 		return
 	}
 	if a.state.Final() && !a.isTombstone() {
-		if a.sentOn == o.conn {
+		if a.reportedOn == o.conn {
 			return
 		}
-		a.sentOn = o.conn
+		a.reportedOn = o.conn
 	}
-	o.reports = append(o.reports, wire.Report{
+	o.pendingReports = append(o.pendingReports, wire.Report{
 		Seq: seq, State: a.state, Reason: a.reason, Result: a.result, Detail: a.detail, RunMs: a.runMs,
 	})
 }
 
-// reportForgotten answers for an attempt whose record is gone.
-func (r reporter) reportForgotten(o *owner, seq uint64) {
-	o.reports = append(o.reports, wire.Report{
+// queueForgottenReport reports an attempt without a record as unknown: it may have run.
+func (r reporter) queueForgottenReport(o *owner, seq uint64) {
+	o.pendingReports = append(o.pendingReports, wire.Report{
 		Seq: seq, State: wire.Unknown, Reason: wire.ReasonStale, Detail: "no longer remembered",
 	})
 }
 
-// repeatFinal queues every final report that was not acknowledged: it may have
-// been lost with the connection before this one.
-func (r reporter) repeatFinal(o *owner) {
-	if o.unacked == 0 {
+// requeueUnacknowledged queues every unacknowledged final report again, because it may
+// have been lost with the previous connection.
+func (r reporter) requeueUnacknowledged(o *owner) {
+	if o.unackedReports == 0 {
 		return
 	}
-	seqs := make([]uint64, 0, o.unacked)
+	seqs := make([]uint64, 0, o.unackedReports)
 	for seq, a := range o.attempts {
 		if a.state.Final() && !a.isTombstone() {
 			seqs = append(seqs, seq)
@@ -52,7 +53,7 @@
 	}
 	slices.Sort(seqs)
 	for _, seq := range seqs {
-		r.report(o, seq, o.attempts[seq])
+		r.queueReport(o, seq, o.attempts[seq])
 	}
 }
 
@@ -72,34 +73,34 @@
 	}
 }
 
-// nextFrame returns the next frame due to the owner, or nil.
+// nextFrame returns the next frame for the owner, or nil if nothing is queued.
 func (r reporter) nextFrame(o *owner) *wire.ToEntry {
-	if len(o.reports) == 0 && !o.sendTarget && !o.sendCredits {
+	if len(o.pendingReports) == 0 && !o.sendTarget && !o.sendCredits {
 		return nil
 	}
-	f := &wire.ToEntry{Reports: takeReports(o)}
+	f := &wire.ToEntry{Reports: dequeueReports(o)}
 	if o.sendTarget {
-		t := r.announced()
+		t := r.announcedTarget()
 		f.Target = &t
 		o.sendTarget = false
 	}
 	if o.sendCredits && r.policy != Push {
-		f.Credits = &wire.Credits{Total: o.credits.granted, Owners: len(r.connected), Recall: o.recallNow}
+		f.Credits = &wire.Credits{Total: o.credits.granted, Owners: len(r.connected), Recall: o.pendingRecall}
 	}
-	o.sendCredits, o.recallNow = false, 0
+	o.sendCredits, o.pendingRecall = false, 0
 	return f
 }
 
-func takeReports(o *owner) []wire.Report {
+func dequeueReports(o *owner) []wire.Report {
 	size, n := 0, 0
-	for n < len(o.reports) && (n == 0 || size < maxReportBytes) {
-		size += len(o.reports[n].Result) + len(o.reports[n].Detail)
+	for n < len(o.pendingReports) && (n == 0 || size < maxReportBytes) {
+		size += len(o.pendingReports[n].Result) + len(o.pendingReports[n].Detail)
 		n++
 	}
-	taken := o.reports[:n:n]
-	o.reports = o.reports[n:]
-	if len(o.reports) == 0 {
-		o.reports = nil // the frame keeps the old array; it may be encoded later
+	batch := o.pendingReports[:n:n]
+	o.pendingReports = o.pendingReports[n:]
+	if len(o.pendingReports) == 0 {
+		o.pendingReports = nil // the frame keeps the old array, which may be encoded later
 	}
-	return taken
+	return batch
 }
--- a/internal/attempt/runner.go
+++ b/internal/attempt/runner.go
@@ -9,167 +9,173 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// abortAfterDeadline is how long past its deadline a call may go on. The owner
-// has answered its caller by then. Without the limit a target that hangs would
-// hold its slots for good when the owner that could cancel has died: the target
-// would look full for ever. It is long enough for an answer that is just coming.
-const abortAfterDeadline = time.Second
+// abortGrace is how long a call may continue after its deadline, by which the owner has
+// answered its caller. Without a limit, the calls of a target that hangs would occupy
+// its slots forever once the owner that could cancel them has died, and the target would
+// seem full. The grace leaves time for a response that is just arriving.
+const abortGrace = time.Second
 
-// runner fills the target's slots and empties them.
+// runner assigns the target's slots to attempts and frees them when calls end.
 type runner struct {
-	*board
-	reporter reporter
-	keeper   keeper
-	granter  granter
+	*tableState
+	reporter  reporter
+	retention retention
+	granter   granter
 }
 
-// unfit returns why a task of this demand can't begin now, or ReasonNone.
-func (r runner) unfit(d job.Demand) wire.Reason {
-	if r.running >= r.target.Slots {
-		return wire.ReasonTargetUnavailable // the target has announced fewer slots since the grant
+// capacityReason returns ReasonTargetUnavailable if no slot is free or the demand exceeds the
+// worker's free resources, else ReasonNone.
+func (r runner) capacityReason(d job.Demand) wire.Reason {
+	if r.runningCount >= r.target.Slots {
+		return wire.ReasonTargetUnavailable // the target announced fewer slots after the grant
 	}
-	if !d.Fits(r.target.Capacity.Sub(r.inUse)) {
+	if !d.Fits(r.target.Capacity.Sub(r.resourcesInUse)) {
 		return wire.ReasonTargetUnavailable
 	}
 	return wire.ReasonNone
 }
 
-// accept takes a start that was not refused.
+// accept records an accepted start and begins it; under Push, it queues it.
 func (r runner) accept(o *owner, s *wire.Start) {
 	a := &attempt{state: wire.Waiting, demand: s.Demand, deadline: time.UnixMilli(s.DeadlineMs), start: s}
 	o.attempts[s.Seq] = a
 	k := Key{o.incarnation, s.Seq}
 	if r.policy == Push {
-		r.queue = append(r.queue, k)
-		r.fill()
+		r.startQueue = append(r.startQueue, k)
+		r.startQueued()
 		return
 	}
 	r.begin(k, a)
 }
 
+// begin occupies a slot and calls the target. a must be waiting.
 func (r runner) begin(k Key, a *attempt) {
-	_, already := r.runningBy[k]
+	_, already := r.runningAttempts[k]
 	invariant.Check(!already && a.state == wire.Waiting, r.log, "an attempt begins once", &r.history)
-	invariant.Check(r.running < r.target.Slots, r.log, "a target's slots are never exceeded", &r.history)
+	invariant.Check(r.runningCount < r.target.Slots, r.log, "a target's slots are never exceeded", &r.history)
 	s := *a.start
 	a.state, a.start = wire.Running, nil
-	r.running++
-	r.inUse = r.inUse.Add(a.demand)
-	r.runningBy[k] = a
-	r.history.add(r.now, stepBegin, k, r.running)
-	if log, wanted := r.decisions(); wanted {
+	r.runningCount++
+	r.resourcesInUse = r.resourcesInUse.Add(a.demand)
+	r.runningAttempts[k] = a
+	r.history.add(r.now, opBegin, k, r.runningCount)
+	if log, enabled := r.decisionLog(); enabled {
 		event.Log(log, event.TaskBegun,
-			"owner", k.Owner.String(), "attempt", k.Seq, "job", s.Job, "task", s.Task, "running", r.running, "slots", r.target.Slots)
+			"owner", k.Owner.String(), "attempt", k.Seq, "job", s.Job, "task", s.Task, "running", r.runningCount, "slots", r.target.Slots)
 	}
 	r.out.Run(k, s)
 }
 
-// fill begins waiting attempts in the order in which they came.
-func (r runner) fill() {
-	for len(r.queue) > 0 && r.running < r.target.Slots && r.takesWork() {
-		k := r.queue[0]
-		r.queue = r.queue[1:]
+// startQueued begins waiting attempts in FIFO order while slots are free. It rejects
+// those that are past their deadline or don't fit.
+func (r runner) startQueued() {
+	for len(r.startQueue) > 0 && r.runningCount < r.target.Slots && r.acceptsWork() {
+		k := r.startQueue[0]
+		r.startQueue = r.startQueue[1:]
 		o := r.owners[k.Owner]
 		if o == nil || o.attempts[k.Seq] == nil || o.attempts[k.Seq].state != wire.Waiting {
-			continue // cancelled meanwhile
+			continue // rejected or forgotten since it was queued
 		}
 		a := o.attempts[k.Seq]
-		switch reason := r.unfit(a.demand); {
+		switch reason := r.capacityReason(a.demand); {
 		case !a.deadline.After(r.now):
-			r.drop(o, k.Seq, a, wire.ReasonDeadlinePast)
+			r.markNotRun(o, k.Seq, a, wire.ReasonDeadlinePast)
 		case reason != wire.ReasonNone:
-			r.drop(o, k.Seq, a, reason)
+			r.markNotRun(o, k.Seq, a, reason)
 		default:
 			r.begin(k, a)
 		}
 	}
 }
 
-// drop ends a waiting attempt, which then never begins.
-func (r runner) drop(o *owner, seq uint64, a *attempt, reason wire.Reason) {
+// markNotRun ends a waiting attempt, which will never begin, and queues its report.
+func (r runner) markNotRun(o *owner, seq uint64, a *attempt, reason wire.Reason) {
 	a.state, a.reason, a.start = wire.NotRun, reason, nil
-	o.unacked++
-	r.history.add(r.now, stepRefuse, Key{o.incarnation, seq}, int(reason))
-	r.reporter.report(o, seq, a)
+	o.unackedReports++
+	r.history.add(r.now, opRefuse, Key{o.incarnation, seq}, int(reason))
+	r.reporter.queueReport(o, seq, a)
 }
 
-func (r runner) finished(k Key, out Outcome) {
-	a, running := r.runningBy[k]
+// completeCall frees the slot of a call that has ended and reports its outcome.
+func (r runner) completeCall(k Key, out Outcome) {
+	a, running := r.runningAttempts[k]
 	invariant.Check(running && a.state == wire.Running, r.log, "a call ends once", &r.history)
 	if !running {
 		return
 	}
-	delete(r.runningBy, k)
-	r.running--
-	r.granter.free()
-	r.board.finished++
-	r.inUse = r.inUse.Sub(a.demand)
-	invariant.Check(r.running >= 0 && out.State.Final(), r.log, "a call ends in a final state", &r.history)
+	delete(r.runningAttempts, k)
+	r.runningCount--
+	r.granter.releaseSlot()
+	r.tableState.finishedCalls++
+	r.resourcesInUse = r.resourcesInUse.Sub(a.demand)
+	invariant.Check(r.runningCount >= 0 && out.State.Final(), r.log, "a call ends in a final state", &r.history)
 	a.state, a.reason = out.State, out.Reason
 	a.result, a.detail, a.runMs = out.Result, out.Detail, out.RunMs
 	if a.cancelled && a.state == wire.NotRun {
 		a.reason = wire.ReasonCancelled
 	}
-	r.history.add(r.now, stepFinish, k, int(a.state))
-	r.hand(r.owners[k.Owner], k.Seq, a)
-	r.fill()
+	r.history.add(r.now, opFinish, k, int(a.state))
+	r.deliverReport(r.owners[k.Owner], k.Seq, a)
+	r.startQueued()
 }
 
-// hand gives a finished attempt's report to its owner or keeps it for later.
-func (r runner) hand(o *owner, seq uint64, a *attempt) {
-	if a.forget || o.conn == 0 && seq <= o.forgotten {
+// deliverReport queues the report of a finished attempt, or retains it while the owner
+// is disconnected. An attempt that needs no report is dropped.
+func (r runner) deliverReport(o *owner, seq uint64, a *attempt) {
+	if a.discardReport || o.conn == 0 && seq <= o.forgottenThrough {
 		delete(o.attempts, seq)
 		return
 	}
-	o.unacked++
-	o.bytes += a.bytes()
-	r.reporter.report(o, seq, a)
+	o.unackedReports++
+	o.unackedBytes += a.reportBytes()
+	r.reporter.queueReport(o, seq, a)
 	if o.conn == 0 {
-		r.keeper.trim()
+		r.retention.enforceRetainedBytes()
 	}
 }
 
-// targetChanged looks at the waiting attempts again.
+// targetChanged re-evaluates the waiting attempts after a change of the target.
 func (r runner) targetChanged() {
 	if !r.leavingSince.IsZero() {
-		r.dropQueue(wire.ReasonLeaving)
+		r.rejectQueued(wire.ReasonLeaving)
 	}
-	r.fill()
+	r.startQueued()
 }
 
-func (r runner) dropQueue(reason wire.Reason) {
-	queue := r.queue
-	r.queue = nil
+func (r runner) rejectQueued(reason wire.Reason) {
+	queue := r.startQueue
+	r.startQueue = nil
 	for _, k := range queue {
 		o := r.owners[k.Owner]
 		if o == nil || o.attempts[k.Seq] == nil || o.attempts[k.Seq].state != wire.Waiting {
 			continue
 		}
-		r.drop(o, k.Seq, o.attempts[k.Seq], reason)
+		r.markNotRun(o, k.Seq, o.attempts[k.Seq], reason)
 	}
 }
 
-// expire aborts calls long past their deadline.
-func (r runner) expire() {
-	r.dropLate()
-	for k, a := range r.runningBy {
-		if !a.cancelled && r.now.Sub(a.deadline) > abortAfterDeadline {
+// abortOverdue rejects expired starts and aborts calls that exceed their deadline by
+// more than abortGrace.
+func (r runner) abortOverdue() {
+	r.rejectExpired()
+	for k, a := range r.runningAttempts {
+		if !a.cancelled && r.now.Sub(a.deadline) > abortGrace {
 			a.cancelled = true
 			r.out.Abort(k)
 		}
 	}
 }
 
-// dropLate refuses waiting attempts whose deadline is past, so that the queue of
-// a target that stands still does not keep them.
-func (r runner) dropLate() {
-	for _, k := range r.queue {
+// rejectExpired rejects waiting attempts whose deadline has passed, so that they don't
+// stay in the queue of a target that makes no progress.
+func (r runner) rejectExpired() {
+	for _, k := range r.startQueue {
 		o := r.owners[k.Owner]
 		if o == nil || o.attempts[k.Seq] == nil {
 			continue
 		}
 		if a := o.attempts[k.Seq]; a.state == wire.Waiting && !a.deadline.After(r.now) {
-			r.drop(o, k.Seq, a, wire.ReasonDeadlinePast)
+			r.markNotRun(o, k.Seq, a, wire.ReasonDeadlinePast)
 		}
 	}
 }
--- a/internal/attempt/settler.go
+++ b/internal/attempt/settler.go
@@ -4,32 +4,32 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// settler answers what owners ask about attempts and forgets what they have
-// settled.
+// settler handles queries, cancels and acknowledgements, and drops the records of
+// attempts that their owners have settled.
 type settler struct {
-	*board
+	*tableState
 	reporter reporter
 	runner   runner
 }
 
-// query reports an attempt. One that never came is refused for good first: only
-// then may its owner start the task elsewhere without any chance of a second run.
-// The error is a *ProtocolError.
+// query reports an attempt's state. An attempt that was never received is first refused
+// for good, so that its owner can safely start the task elsewhere without the risk of a
+// second run. The error is a *ProtocolError.
 func (s settler) query(o *owner, seq uint64) error {
-	return s.askOrRefuse(o, seq, wire.ReasonNeverSeen)
+	return s.reportOrRefuse(o, seq, wire.ReasonNeverSeen)
 }
 
-// cancel ends an attempt. One that waits never begins; the call of one that runs
-// is aborted, and its outcome follows when the call has ended. The error is a
-// *ProtocolError.
+// cancel ends an attempt. A waiting one is marked as not run. For a running one, the
+// call is aborted, and its outcome is reported when it has ended. One that was never
+// received is refused for good. The error is a *ProtocolError.
 func (s settler) cancel(o *owner, seq uint64) error {
 	a := o.attempts[seq]
 	if a == nil {
-		return s.askOrRefuse(o, seq, wire.ReasonCancelled)
+		return s.reportOrRefuse(o, seq, wire.ReasonCancelled)
 	}
 	switch a.state {
 	case wire.Waiting:
-		s.runner.drop(o, seq, a, wire.ReasonCancelled)
+		s.runner.markNotRun(o, seq, a, wire.ReasonCancelled)
 	case wire.Running:
 		s.abort(Key{o.incarnation, seq}, a)
 	}
@@ -41,39 +41,39 @@
 		return
 	}
 	a.cancelled = true
-	s.history.add(s.now, stepCancel, k, 0)
+	s.history.add(s.now, opCancel, k, 0)
 	s.out.Abort(k)
 }
 
-func (s settler) askOrRefuse(o *owner, seq uint64, reason wire.Reason) error {
+func (s settler) reportOrRefuse(o *owner, seq uint64, reason wire.Reason) error {
 	switch a := o.attempts[seq]; {
 	case seq == 0:
 		return &ProtocolError{Owner: o.incarnation, Violation: ZeroSeq}
 	case a != nil:
-		s.reporter.report(o, seq, a)
+		s.reporter.queueReport(o, seq, a)
 	case o.mayHaveForgotten(seq):
-		s.reporter.reportForgotten(o, seq)
-	case len(o.attempts) >= maxRemembered:
+		s.reporter.queueForgottenReport(o, seq)
+	case len(o.attempts) >= maxUnsettled:
 		return &ProtocolError{Owner: o.incarnation, Violation: TooManyUnsettled, Seq: seq}
 	default:
 		a = &attempt{state: wire.NotRun, reason: reason}
 		o.attempts[seq] = a
-		o.highest = max(o.highest, seq)
-		o.unacked++
-		s.history.add(s.now, stepRefuse, Key{o.incarnation, seq}, int(reason))
-		s.reporter.report(o, seq, a)
+		o.highestSeq = max(o.highestSeq, seq)
+		o.unackedReports++
+		s.history.add(s.now, opRefuse, Key{o.incarnation, seq}, int(reason))
+		s.reporter.queueReport(o, seq, a)
 	}
 	return nil
 }
 
-// ack replaces an attempt whose report has arrived by a tombstone.
+// ack replaces an attempt whose final report was acknowledged by a tombstone.
 func (s settler) ack(o *owner, seq uint64) {
 	a := o.attempts[seq]
 	if a == nil || !a.state.Final() || a.isTombstone() {
 		return
 	}
-	o.unacked--
-	o.bytes -= a.bytes()
+	o.unackedReports--
+	o.unackedBytes -= a.reportBytes()
 	if a.state == wire.NotRun {
 		o.attempts[seq] = tombstoneNotRun
 	} else {
@@ -81,14 +81,15 @@
 	}
 }
 
-// settle forgets every attempt below the given number.
+// settle drops the records of all attempts with numbers lower than below. Those that
+// still run are dropped when they end.
 func (s settler) settle(o *owner, below uint64) {
-	if below <= o.settled {
+	if below <= o.settledBelow {
 		return
 	}
-	s.history.add(s.now, stepSettle, Key{o.incarnation, below}, len(o.attempts))
-	from := o.settled
-	o.settled = below
+	s.history.add(s.now, opSettle, Key{o.incarnation, below}, len(o.attempts))
+	from := o.settledBelow
+	o.settledBelow = below
 	if below-from > uint64(len(o.attempts)) {
 		for seq := range o.attempts {
 			s.settleOne(o, seq)
@@ -102,29 +103,29 @@
 
 func (s settler) settleOne(o *owner, seq uint64) {
 	a := o.attempts[seq]
-	if a == nil || seq >= o.settled {
+	if a == nil || seq >= o.settledBelow {
 		return
 	}
 	switch {
 	case a.state == wire.Running:
-		a.forget = true
+		a.discardReport = true
 		return
 	case a.state == wire.Waiting:
-		s.runner.drop(o, seq, a, wire.ReasonStale)
+		s.runner.markNotRun(o, seq, a, wire.ReasonStale)
 	}
 	s.ack(o, seq)
 	delete(o.attempts, seq)
 }
 
-// dropWaiting refuses what has not begun of an owner that went away: nobody is
-// there to tell whether it is still wanted.
-func (s settler) dropWaiting(o *owner) {
+// rejectWaiting rejects the waiting attempts of an owner that disconnected, since it
+// can no longer cancel them.
+func (s settler) rejectWaiting(o *owner) {
 	if s.policy != Push {
 		return
 	}
 	for seq, a := range o.attempts {
 		if a.state == wire.Waiting {
-			s.runner.drop(o, seq, a, wire.ReasonCancelled)
+			s.runner.markNotRun(o, seq, a, wire.ReasonCancelled)
 		}
 	}
 }
--- a/internal/attempt/status.go
+++ b/internal/attempt/status.go
@@ -4,7 +4,7 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Status is what operators see of the table.
+// Status is a snapshot of the table for the agent's status endpoint and metrics.
 type Status struct {
 	Target         TargetStatus  `json:"target"`
 	Draining       bool          `json:"draining"`
@@ -16,7 +16,7 @@
 	Owners         []OwnerStatus `json:"owners"`
 }
 
-// TargetStatus is the target's state as owners see it.
+// TargetStatus is the target's state as announced to owners.
 type TargetStatus struct {
 	Name    string   `json:"name"`
 	Classes []string `json:"classes,omitempty"`
@@ -26,7 +26,7 @@
 	Down    bool     `json:"down"`
 }
 
-// OwnerStatus is the part of one owner.
+// OwnerStatus is the part of Status that concerns one owner.
 type OwnerStatus struct {
 	Incarnation           string `json:"incarnation"`
 	Connected             bool   `json:"connected"`
@@ -36,12 +36,12 @@
 	WaitingAtOwner        int    `json:"waiting_at_owner"`
 }
 
-// Status returns the table's state in numbers.
+// Status returns a snapshot of the table.
 func (t *Table) Status() Status {
-	b := t.b
+	b := t.state
 	s := Status{
-		Target: targetStatus(b.announced()), Draining: b.draining, Running: b.running, Waiting: len(b.queue),
-		UnspentCredits: b.sharer.Outstanding(), GrantedCredits: b.granted, FinishedCalls: b.finished, Owners: []OwnerStatus{},
+		Target: targetStatus(b.announcedTarget()), Draining: b.draining, Running: b.runningCount, Waiting: len(b.startQueue),
+		UnspentCredits: b.allocator.Outstanding(), GrantedCredits: b.grantedCredits, FinishedCalls: b.finishedCalls, Owners: []OwnerStatus{},
 	}
 	for _, o := range b.owners {
 		s.Owners = append(s.Owners, ownerStatus(o))
@@ -56,7 +56,7 @@
 func ownerStatus(o *owner) OwnerStatus {
 	s := OwnerStatus{
 		Incarnation: o.incarnation.String(), Connected: o.conn != 0,
-		RememberedAttempts: len(o.attempts), UnacknowledgedReports: o.unacked, WaitingAtOwner: o.waiting,
+		RememberedAttempts: len(o.attempts), UnacknowledgedReports: o.unackedReports, WaitingAtOwner: o.waitingTasks,
 	}
 	if s.Connected {
 		s.UnspentCredits = o.credits.unspent()
@@ -64,20 +64,21 @@
 	return s
 }
 
-// Target returns the target's state as owners should see it.
-func (t *Table) Target() wire.Target { return t.b.announced() }
+// Target returns the target's state as announced to owners.
+func (t *Table) Target() wire.Target { return t.state.announcedTarget() }
 
-// Idle reports whether a drained agent may end: nothing runs or waits, no owner
-// can still send a start, and every report has arrived.
+// Idle reports whether a drained agent may exit: no attempt runs or waits, no owner
+// can still send a start, and every final report has been acknowledged. An owner that
+// has been disconnected for longer than drainReconnectTimeout is not waited for.
 func (t *Table) Idle() bool {
-	if t.b.running > 0 || len(t.b.queue) > 0 {
+	if t.state.runningCount > 0 || len(t.state.startQueue) > 0 {
 		return false
 	}
-	if t.b.policy == Push && t.b.now.Sub(t.b.leavingSince) <= leavingGrace {
-		return false // nothing counts the starts that are on their way
+	if t.state.policy == Push && t.state.now.Sub(t.state.leavingSince) <= leavingGrace {
+		return false // without credits, starts in transit can't be counted
 	}
-	for _, o := range t.b.owners {
-		if t.keeper.due(o) {
+	for _, o := range t.state.owners {
+		if t.retention.blocksDrain(o) {
 			return false
 		}
 	}
--- a/internal/attempt/table.go
+++ b/internal/attempt/table.go
@@ -1,13 +1,13 @@
-// Package attempt is the control state of an agent: which attempts of which owner
-// it knows, which of them run, and how the target's free slots are granted. It
-// has no network, no clock and no goroutine of its own; one goroutine calls it
-// and hands it the time.
+// Package attempt implements the control state of an agent: the attempts it knows of
+// each owner, which of them run, and how the target's free slots are granted. It has
+// no network, clock or goroutine of its own; a single goroutine calls it and passes
+// the current time.
 //
-// The state lies on a blackboard (board) that small controllers read and write:
-// connector (which connection counts for which owner), intake (new starts),
-// settler (cancels, queries, acknowledgements), runner (slots), granter
-// (credits), keeper (what owners that went away left behind) and reporter
-// (frames to owners).
+// The state follows the blackboard pattern: small controllers read and write it in one
+// struct, tableState. They are connector (the active connection of each owner), intake
+// (new starts), settler (cancels, queries, acknowledgements), runner (slots), granter
+// (credits), retention (reports for disconnected owners) and reporter (frames to
+// owners).
 package attempt
 
 import (
@@ -19,46 +19,49 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// ConnID names one connection to an entry. Later connections have higher ids;
-// zero is no connection.
+// ConnID identifies one connection to an entry. Later connections have higher ids;
+// zero means no connection.
 type ConnID uint64
 
-// Key names an attempt for ever: the owner's incarnation and its number there.
+// Key identifies an attempt uniquely for all time: the incarnation of its owner and
+// the number that the owner gave it.
 type Key struct {
 	Owner job.Incarnation
 	Seq   uint64
 }
 
-// Outcome is how a call to the target ended.
+// Outcome is the result of a call to the target.
 type Outcome struct {
 	State  wire.AttemptState // a final state
 	Reason wire.Reason       // for NotRun
 	Result []byte
 	Detail string
-	RunMs  float64
+	RunMs  float64 // time at the target
 }
 
-// Outbox is what the table does to the outside. No method may block or call back.
+// Outbox carries out the table's effects outside the package. Its methods must not
+// block or call the table.
 type Outbox interface {
 	Send(conn ConnID, f *wire.ToEntry)
 	Close(conn ConnID)
-	// Run calls the target; Finished must follow exactly once.
+	// Run calls the target; exactly one CompleteCall must follow.
 	Run(k Key, s wire.Start)
-	// Abort ends a running call early; Finished follows still.
+	// Abort ends a running call early; its CompleteCall must still follow.
 	Abort(k Key)
 }
 
-// Policy says who decides when an attempt begins.
+// Policy selects which side decides when an attempt begins.
 type Policy string
 
-// Policies. Grants is the product's; Push is kept to compare against: owners send
-// whenever they like and what finds no slot waits at the agent.
+// Policies. Under Grants, the production policy, owners start tasks only against
+// credits. Push exists as a baseline for comparison: owners send starts at any time, and
+// those without a free slot wait at the agent.
 const (
 	Grants Policy = "grants"
 	Push   Policy = "push"
 )
 
-// Options of a Table.
+// Options configures a Table.
 type Options struct {
 	Incarnation job.Incarnation // of the agent, for the log
 	Log         logr.Logger
@@ -68,68 +71,71 @@
 
 // Table is an agent's control state. It is not safe for concurrent use.
 type Table struct {
-	b *board
+	state *tableState
 
 	connector connector
 	intake    intake
 	settler   settler
 	runner    runner
 	granter   granter
-	keeper    keeper
+	retention retention
 	reporter  reporter
 }
 
-// New returns an empty table; the target counts as down until SetTarget.
+// New returns an empty table, whose target is down until SetTarget is called.
 func New(o Options) *Table {
 	if o.Policy == "" {
 		o.Policy = Grants
 	}
-	b := newBoard(o)
-	reporter := reporter{b}
-	keeper := keeper{b}
-	granter := granter{b}
-	runner := runner{board: b, reporter: reporter, keeper: keeper, granter: granter}
-	settler := settler{board: b, reporter: reporter, runner: runner}
+	state := newTableState(o)
+	reporter := reporter{state}
+	retention := retention{state}
+	granter := granter{state}
+	runner := runner{tableState: state, reporter: reporter, retention: retention, granter: granter}
+	settler := settler{tableState: state, reporter: reporter, runner: runner}
 	return &Table{
-		b:         b,
-		connector: connector{board: b, settler: settler, reporter: reporter, keeper: keeper, granter: granter},
-		intake:    intake{board: b, reporter: reporter, runner: runner, granter: granter},
+		state:     state,
+		connector: connector{tableState: state, settler: settler, reporter: reporter, retention: retention, granter: granter},
+		intake:    intake{tableState: state, reporter: reporter, runner: runner, granter: granter},
 		settler:   settler,
 		runner:    runner,
 		granter:   granter,
-		keeper:    keeper,
+		retention: retention,
 		reporter:  reporter,
 	}
 }
 
-// Connect makes conn the one connection that counts for the owner that sent w.
+// Connect makes conn the active connection of the owner that sent w, and closes the one
+// that it replaces. If conn is not the newest connection of the owner, it is closed
+// instead.
 func (t *Table) Connect(now time.Time, conn ConnID, w *wire.Welcome) {
-	t.b.now = now
+	t.state.now = now
 	t.connector.connect(conn, w.Incarnation)
 }
 
-// Disconnect tells that conn is closed. The owner's unspent credits are void and
-// its attempts that have not begun never will.
+// Disconnect records that conn is closed. The owner's unspent credits become void, and
+// its attempts that have not begun will never begin.
 func (t *Table) Disconnect(now time.Time, conn ConnID) {
-	t.b.now = now
+	t.state.now = now
 	t.connector.disconnect(conn)
 }
 
-// SetRetired grants nothing more on a connection and calls its credits back, so that
-// Quiet becomes true; with on false, the connection takes part again.
+// SetRetired stops granting credits on a connection and recalls the unspent ones, so
+// that CanClose becomes true. With on false, it makes the connection eligible again.
 func (t *Table) SetRetired(conn ConnID, on bool) {
-	if o := t.b.conns[conn]; o != nil {
-		t.b.sharer.SetRetired(uint64(o.incarnation), on)
+	if o := t.state.ownerByConn[conn]; o != nil {
+		t.state.allocator.SetRetired(uint64(o.incarnation), on)
 	}
 }
 
-// CanClose reports whether the agent may close a connection that counts and that was
-// retired: the owner can start nothing on it and every report has arrived. Closing
-// it earlier could lose a start under way, and its job would hang until its
-// deadline. It is never true under Push, where nothing counts the starts.
+// CanClose reports whether the agent may close an active connection that was retired:
+// the owner has no credit left to start a task on it, and every attempt has ended and
+// its report is acknowledged. Closing it earlier could lose a start in transit, and its
+// job would hang until its deadline. It is always false under Push, where starts in
+// transit are not counted.
 func (t *Table) CanClose(conn ConnID) bool {
-	o := t.b.conns[conn]
-	if o == nil || t.b.policy == Push || o.credits.unspent() > 0 || o.unacked > 0 {
+	o := t.state.ownerByConn[conn]
+	if o == nil || t.state.policy == Push || o.credits.unspent() > 0 || o.unackedReports > 0 {
 		return false
 	}
 	for _, a := range o.attempts {
@@ -140,18 +146,18 @@
 	return true
 }
 
-// Receive takes a frame. A frame on a connection that no longer counts has no
-// effect. The error is a *ProtocolError: close the connection then, which does not
-// count from here on.
+// Receive applies a frame. A frame on an inactive connection has no effect. On an
+// error, which is a *ProtocolError, the connection becomes inactive and the caller must
+// close it.
 func (t *Table) Receive(now time.Time, conn ConnID, f *wire.ToAgent) error {
-	t.b.now = now
-	o := t.b.conns[conn]
+	t.state.now = now
+	o := t.state.ownerByConn[conn]
 	if o == nil {
 		return nil
 	}
 	err := t.apply(o, f)
 	if err != nil {
-		t.connector.disconnect(conn) // frames of it may still be waiting
+		t.connector.disconnect(conn) // more of its frames may be queued
 	}
 	return err
 }
@@ -178,39 +184,40 @@
 			return err
 		}
 	}
-	return t.granter.hear(o, f.Demand)
+	return t.granter.updateDemand(o, f.Demand)
 }
 
-// CompleteCall tells how the call for k ended.
+// CompleteCall records the outcome of the call for k and frees its slot.
 func (t *Table) CompleteCall(now time.Time, k Key, out Outcome) {
-	t.b.now = now
-	t.runner.finished(k, out)
+	t.state.now = now
+	t.runner.completeCall(k, out)
 }
 
-// SetTarget takes the target's state as last announced.
+// SetTarget sets the target's state as last announced.
 func (t *Table) SetTarget(now time.Time, target wire.Target) {
-	t.b.now = now
-	t.b.setTarget(target)
+	t.state.now = now
+	t.state.setTarget(target)
 	t.runner.targetChanged()
 }
 
-// Drain makes the agent take no new work, for good.
+// Drain makes the agent accept no new work. It can't be undone.
 func (t *Table) Drain(now time.Time) {
-	t.b.now = now
-	t.b.drain()
+	t.state.now = now
+	t.state.drain()
 	t.runner.targetChanged()
 }
 
-// Tick does what only the passing of time brings about. Call it every 100 ms or so.
+// Tick applies timeouts: overdue calls, expired starts and retained reports. Call it
+// about every 100 ms.
 func (t *Table) Tick(now time.Time) {
-	t.b.now = now
-	t.runner.expire()
-	t.keeper.expire()
+	t.state.now = now
+	t.runner.abortOverdue()
+	t.retention.expire()
 }
 
-// Flush grants free slots and sends the frames gathered. Call it after each batch
-// of calls, so that many small changes share a frame.
+// Flush grants free slots and sends the queued frames. Call it after each batch of
+// calls, so that many small changes share a frame.
 func (t *Table) Flush() {
-	t.granter.grant()
+	t.granter.rebalance()
 	t.reporter.flush()
 }
