--- a/internal/httpconn/accept_test.go
+++ b/internal/httpconn/accept_test.go
@@ -10,13 +10,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// exhausted is a listener that fails for want of descriptors as often as it says.
-type exhausted struct {
+// failingListener fails to accept, as with exhausted file descriptors, for the number of
+// calls in failures.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (e *exhausted) Accept() (net.Conn, error) {
+func (e *failingListener) Accept() (net.Conn, error) {
 	if e.failures > 0 {
 		e.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -24,14 +25,15 @@
 	return e.Listener.Accept()
 }
 
-// Guards against callers who see silence while no line says why, and against a line a try.
-func TestFailedAcceptIsToldOnce(t *testing.T) {
+// Guards against callers that get no response without a log line to explain it, and
+// against a log line for each retry.
+func TestFailedAcceptIsLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	var lines []string
 	log := funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})
-	source := &exhausted{Listener: listener}
+	source := &failingListener{Listener: listener}
 	logged := NewLoggingListener(source, log)
 	for range 2 {
 		source.failures = 3
--- a/internal/httpconn/unused.go
+++ b/internal/httpconn/unused.go
@@ -1,4 +1,4 @@
-// Package httpconn follows the connections of the daemons' HTTP servers.
+// Package httpconn observes the connections of the daemons' HTTP servers.
 package httpconn
 
 import (
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// UnusedConns holds the connections on which no request has come yet. Clients open
-// some in reserve. The graceful shutdown of net/http waits five seconds for each of
-// them, and a drain that had finished everything would end as a failed one.
+// UnusedConns is the set of connections that have carried no request yet. Clients open
+// some in advance. The graceful shutdown of net/http waits five seconds for each of
+// them, so a drain that had finished all work would be reported as failed.
 type UnusedConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
@@ -18,7 +18,8 @@
 // NewUnusedConns returns an empty set.
 func NewUnusedConns() *UnusedConns { return &UnusedConns{conns: map[net.Conn]struct{}{}} }
 
-// Track is the server's ConnState.
+// Track updates the set when a connection changes its state. It is the ConnState hook of
+// an http.Server.
 func (u *UnusedConns) Track(c net.Conn, state http.ConnState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -29,8 +30,9 @@
 	}
 }
 
-// Close closes them; call it once the listener is closed. A request that is just arriving on one gets no reply, as on an
-// idle connection that is closed; its sender sends it again.
+// Close closes the unused connections. Call it after the listener is closed. A request
+// that is just arriving on one of them gets no response, as on an idle connection that
+// is closed, and its sender retries it.
 func (u *UnusedConns) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
