--- a/internal/gauges/gauges.go
+++ b/internal/gauges/gauges.go
@@ -1,4 +1,4 @@
-// Package gauges holds the metrics that every daemon shows alike.
+// Package gauges provides the metrics that all daemons share.
 package gauges
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/camphorrack/camphorrack/internal/session"
 )
 
-// Set is a registry of metrics with the gauges that daemons share.
+// Set is a metrics registry with the gauges that all daemons share.
 type Set struct{ metrics.Registry }
 
-// New returns a set with the gauges of the process, of its sessions and of the
-// commands that wait for its control goroutine.
+// New returns a set with the gauges of the process, its sessions and its control
+// goroutine. queued returns the number of commands that wait for that goroutine.
 func New(sessions *session.Counters, queued func() int) Set {
 	s := Set{metrics.NewRegistry()}
 	s.RegisterGauge("control.queued_commands", func() int64 { return int64(queued()) })
@@ -29,23 +29,24 @@
 	s.RegisterGauge("sessions.closed_silent", sessions.ClosedSilent.Load)
 	s.RegisterGauge("invariants.broken", invariant.Breaches)
 	s.RegisterGauge("process.goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
-	s.RegisterGauge("process.cpu_us", processorMicroseconds)
+	s.RegisterGauge("process.cpu_us", cpuMicroseconds)
 	return s
 }
 
-// RegisterGauge adds a gauge that is read whenever the metrics are.
+// RegisterGauge adds a gauge whose value is read whenever the metrics are read.
 func (s Set) RegisterGauge(name string, read func() int64) {
 	metrics.NewRegisteredFunctionalGauge(name, s.Registry, read)
 }
 
-// RegisterConfig adds which configuration is in force and how old it is.
+// RegisterConfig adds gauges for the version of the configuration in force and its age.
 func (s Set) RegisterConfig(h *config.Holder) {
 	s.RegisterGauge("config.version", func() int64 { return int64(h.Get().State.Version) })
 	s.RegisterGauge("config.age_ms", func() int64 { return h.Age().Milliseconds() })
 }
 
-// processorMicroseconds is the processor time that the process has used.
-func processorMicroseconds() int64 {
+// cpuMicroseconds returns the user and system CPU time that the process has used, or 0
+// if it can't be read.
+func cpuMicroseconds() int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/gauges/stalls.go
+++ b/internal/gauges/stalls.go
@@ -9,10 +9,11 @@
 	"github.com/camphorrack/camphorrack/internal/event"
 )
 
-// StallObserver returns an observer of the ticks of a control goroutine, which come every pace at
-// the most. It logs when the process stood still, for long or for short times in a row.
-func StallObserver(log logr.Logger, pace time.Duration) func() {
-	stall, starvation := clock.NewStallDetector(clock.StallThreshold), clock.NewStarvationDetector(pace)
+// StallObserver returns a function to call on each tick of a control goroutine; ticks must
+// be at most tickInterval apart. It logs a long pause of the process, such as a suspended
+// host, and short pauses that add up, such as from a lack of CPU time.
+func StallObserver(log logr.Logger, tickInterval time.Duration) func() {
+	stall, starvation := clock.NewStallDetector(clock.StallThreshold), clock.NewStarvationDetector(tickInterval)
 	return func() {
 		lost := starvation.Check()
 		if gap := stall.Check(); gap > 0 {
--- a/internal/gauges/turns.go
+++ b/internal/gauges/turns.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// slowTurn is the length from which a turn of the control goroutine is logged:
-	// longer than a heartbeat may be late, and far beyond a full batch.
-	slowTurn = 100 * time.Millisecond
-	// countedTurn is the length from which a turn is sampled. Most take microseconds,
-	// and sampling those would cost more than some of them do.
-	countedTurn = time.Millisecond
-	// turnSamples is the size of the sample that quantiles are taken from.
-	turnSamples = 1028
-	// turnDecay favours the last five minutes.
-	turnDecay = 0.015
+	// slowTurnThreshold is the duration from which a turn of the control goroutine is
+	// logged. It exceeds the tolerable delay of a heartbeat and, by far, the time for a
+	// full batch.
+	slowTurnThreshold = 100 * time.Millisecond
+	// minSampledTurn is the duration from which a turn is sampled. Most turns take
+	// microseconds, and sampling them would cost more than some of them take.
+	minSampledTurn = time.Millisecond
+	// turnSampleSize is the number of turns from which quantiles are computed.
+	turnSampleSize = 1028
+	// turnSampleDecay weights the sample towards the last five minutes.
+	turnSampleDecay = 0.015
 )
 
-// TurnObserver returns an observer of the control goroutine for control.Options. A request
-// that got no answer in time is explained by a slow turn where one is logged, and by
-// the want of a processor, or by the network, where none is.
+// TurnObserver returns a function for control.Options that samples the durations of the
+// control goroutine's turns and logs slow ones. If a request timed out, a logged slow
+// turn explains it; without one, the cause is a lack of CPU time or the network.
 func (s Set) TurnObserver(log logr.Logger) func(control.Turn) {
-	sample := metrics.NewRegisteredHistogram("control.turn_us", s.Registry, metrics.NewExpDecaySample(turnSamples, turnDecay))
+	sample := metrics.NewRegisteredHistogram("control.turn_us", s.Registry, metrics.NewExpDecaySample(turnSampleSize, turnSampleDecay))
 	return func(t control.Turn) {
-		if t.Duration < countedTurn {
+		if t.Duration < minSampledTurn {
 			return
 		}
 		sample.Update(t.Duration.Microseconds())
-		if t.Duration >= slowTurn {
+		if t.Duration >= slowTurnThreshold {
 			event.Log(log, event.ControlSlow, "ms", t.Duration.Milliseconds(), "commands", t.Commands, "waiting", t.QueuedCommands)
 		}
 	}
