--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -9,59 +9,60 @@
 )
 
 const (
-	// maxBuffered bounds the lines that wait to be written: about 1 MB. Decisions are
-	// logged on the control goroutine; if whatever reads the log stalls, writing to it
-	// directly would stall heartbeats and answers with it.
-	maxBuffered = 4096
-	// linesPerSecond bounds the volume: eight times what an entry writes in the worst
-	// second of a rush of twice the usual callers. A line costs about 10 us, so all of
-	// them take 2 % of a core.
+	// maxBufferedLines limits the lines that wait to be written, which take about 1 MB.
+	// Decisions are logged on the control goroutine, so that with direct writes a stalled
+	// log reader would also stall heartbeats and answers.
+	maxBufferedLines = 4096
+	// linesPerSecond limits the volume. It is eight times what an entry writes in the
+	// worst second of a load peak with twice the usual callers. A line costs about 10 us,
+	// so the limit corresponds to 2 % of a core.
 	linesPerSecond = 2000
-	// burstLines may come at once: a start or a loss of many sessions is logged whole.
-	burstLines = 2 * maxBuffered
-	// flushTimeout bounds the wait for a reader that stalls when the process ends.
+	// burstLines is the number of lines that may come at once, enough to log a startup or
+	// the loss of many sessions completely.
+	burstLines = 2 * maxBufferedLines
+	// flushTimeout limits how long Close waits for a stalled log reader.
 	flushTimeout = time.Second
-	// writeSize lets a burst of lines share a system call.
-	writeSize = 64 << 10
+	// writeBufferBytes is large enough for a burst of lines to share a system call.
+	writeBufferBytes = 64 << 10
 )
 
-// Buffer is a writer that never blocks. Lines that find no room, or come faster than
-// linesPerSecond, are dropped, and
-// their number is written as a line of its own when there is room again.
+// Buffer is a writer whose Write never blocks. Lines are dropped when the buffer is full
+// or they come faster than linesPerSecond. The number of dropped lines is logged when
+// writing continues.
 type Buffer struct {
 	out   io.Writer
 	lines chan []byte
 
-	mu      sync.Mutex
-	dropped int
-	budget  float64 // lines that may be written now
-	filled  time.Time
-	closed  bool
-	done    chan struct{}
+	mu         sync.Mutex
+	dropped    int
+	tokens     float64 // token bucket: lines that may be written now
+	refilledAt time.Time
+	closed     bool
+	done       chan struct{}
 }
 
-// NewBuffer returns a buffer in front of out.
+// NewBuffer returns a buffer that writes to out on a goroutine of its own until Close.
 func NewBuffer(out io.Writer) *Buffer {
-	b := &Buffer{out: out, lines: make(chan []byte, maxBuffered), done: make(chan struct{}), budget: burstLines, filled: time.Now()}
+	b := &Buffer{out: out, lines: make(chan []byte, maxBufferedLines), done: make(chan struct{}), tokens: burstLines, refilledAt: time.Now()}
 	go b.run()
 	return b
 }
 
 func (b *Buffer) run() {
 	defer close(b.done)
-	out := bufio.NewWriterSize(b.out, writeSize)
+	out := bufio.NewWriterSize(b.out, writeBufferBytes)
 	for line := range b.lines {
-		if n := b.takeDropped(); n > 0 {
+		if n := b.resetDropped(); n > 0 {
 			fmt.Fprintf(out, "{\"level\":\"WARN\",\"msg\":\"log_lines_dropped\",\"event\":106,\"lines\":%d}\n", n)
 		}
-		_, _ = out.Write(line) // there is nowhere left to report a failure
+		_, _ = out.Write(line) // a failure to log can't be reported anywhere
 		if len(b.lines) == 0 {
 			_ = out.Flush()
 		}
 	}
 }
 
-func (b *Buffer) takeDropped() int {
+func (b *Buffer) resetDropped() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.dropped
@@ -69,7 +70,7 @@
 	return n
 }
 
-// Write takes one line. It keeps a copy and always succeeds.
+// Write queues a copy of one line, or drops it. It always succeeds.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,18 +89,19 @@
 	return len(line), nil
 }
 
-// allow takes one line from the budget, which fills up to burstLines.
+// allow reports whether one more line may be written now, and takes a token for it. The
+// bucket refills by linesPerSecond up to burstLines.
 func (b *Buffer) allow(now time.Time) bool {
-	b.budget = min(burstLines, b.budget+linesPerSecond*now.Sub(b.filled).Seconds())
-	b.filled = now
-	if b.budget < 1 {
+	b.tokens = min(burstLines, b.tokens+linesPerSecond*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.budget--
+	b.tokens--
 	return true
 }
 
-// Close writes what waits; later lines are lost.
+// Close writes the queued lines, waiting at most flushTimeout. Later lines are dropped.
 func (b *Buffer) Close() {
 	b.mu.Lock()
 	if !b.closed {
