--- a/internal/attempt/board.go
+++ b/internal/attempt/board.go
@@ -49,7 +49,7 @@
 
 	attempts     map[uint64]*attempt
 	highestSeq   uint64 // highest attempt number received
-	settledBelow uint64 // attempts with lower numbers are settled at the owner
+	settledBelow uint64 // lower numbers are settled: the owner needs no report and sends no start
 	// forgottenThrough is the highest attempt number whose record may have been
 	// dropped: without a record, an attempt up to it may or may not have run.
 	forgottenThrough uint64
@@ -164,6 +164,8 @@
 	s.queueTargetUpdate()
 }
 
+// updateLeavingSince records when the target began to leave or the agent to drain, from
+// which leavingGrace is counted.
 func (s *tableState) updateLeavingSince() {
 	leaving := s.target.Leaving || s.draining
 	switch {
@@ -174,6 +176,7 @@
 	}
 }
 
+// queueTargetUpdate makes the next flush send the target's state to all connected owners.
 func (s *tableState) queueTargetUpdate() {
 	for _, o := range s.connected {
 		o.sendTarget = true
--- a/internal/attempt/reporter.go
+++ b/internal/attempt/reporter.go
@@ -91,6 +91,8 @@
 	return f
 }
 
+// dequeueReports takes the reports for the next frame from the queue: at least one, and
+// more until their size reaches maxReportBytes.
 func dequeueReports(o *owner) []wire.Report {
 	size, n := 0, 0
 	for n < len(o.pendingReports) && (n == 0 || size < maxReportBytes) {
--- a/internal/attempt/runner.go
+++ b/internal/attempt/runner.go
@@ -23,8 +23,8 @@
 	granter   granter
 }
 
-// capacityReason returns ReasonTargetUnavailable if no slot is free or the demand exceeds the
-// worker's free resources, else ReasonNone.
+// capacityReason returns ReasonTargetUnavailable if no slot is free or the demand exceeds
+// the worker's free resources, else ReasonNone.
 func (r runner) capacityReason(d job.Demand) wire.Reason {
 	if r.runningCount >= r.target.Slots {
 		return wire.ReasonTargetUnavailable // the target announced fewer slots after the grant
--- a/internal/attempt/settler.go
+++ b/internal/attempt/settler.go
@@ -45,6 +45,8 @@
 	s.out.Abort(k)
 }
 
+// reportOrRefuse reports an attempt's state. It first refuses, with the given reason, an
+// attempt that was never received. The error is a *ProtocolError.
 func (s settler) reportOrRefuse(o *owner, seq uint64, reason wire.Reason) error {
 	switch a := o.attempts[seq]; {
 	case seq == 0:
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// ack replaces an attempt whose final report was acknowledged by a tombstone.
+// ack replaces an attempt with a tombstone once its final report is acknowledged.
 func (s settler) ack(o *owner, seq uint64) {
 	a := o.attempts[seq]
 	if a == nil || !a.state.Final() || a.isTombstone() {
--- a/internal/attempt/table.go
+++ b/internal/attempt/table.go
@@ -1,7 +1,7 @@
 // Package attempt implements the control state of an agent: the attempts it knows of
-// each owner, which of them run, and how the target's free slots are granted. It has
-// no network, clock or goroutine of its own; a single goroutine calls it and passes
-// the current time.
+// each owner (an incarnation of an entry), which of them run, and how the target's free
+// slots are granted. It has no network, clock or goroutine of its own; a single
+// goroutine calls it and passes the current time.
 //
 // The state follows the blackboard pattern: small controllers read and write it in one
 // struct, tableState. They are connector (the active connection of each owner), intake
