--- a/internal/attempt/board.go
+++ b/internal/attempt/board.go
@@ -146,6 +146,7 @@
 	return !s.target.Down && !s.target.Leaving && !s.draining
 }
 
+// setTarget stores the target's state and announces a change to all connected owners.
 func (s *tableState) setTarget(t wire.Target) {
 	if sameTarget(&s.target, &t) {
 		return
--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -62,6 +62,7 @@
 	}
 }
 
+// resetDropped returns the number of lines dropped since the last call.
 func (b *Buffer) resetDropped() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
