--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -1,14 +1,14 @@
-// Package confsync passes the operator's configuration between processes over the
-// sessions they have anyway.
+// Package confsync replicates the operator's configuration between processes over
+// their existing sessions.
 //
-// The platform's store may serve some hosts and turn others away for a while. A
-// host that heard nothing would go on by an old configuration while its neighbours
-// follow the new one: a caller would see a route come and go with the entry that
-// answers. So each process announces its version to its peers, and whoever lags
-// asks one of them for the body. A body of some ten kilobytes crosses each link at
-// most once, however many peers announce it.
+// The platform's store may reject the requests of some hosts while it serves others.
+// A host that relied on the store alone would keep an old configuration while other
+// hosts use the new one, and a route would exist or not depending on the entry that
+// answers the caller. So each process announces its version to its peers, and a process
+// with an older version requests the body from one of them. A body of some ten kilobytes
+// crosses each link at most once, however many peers announce it.
 //
-// Versions only rise: a body of the same or a lower version is dropped.
+// Versions only increase: a body of the same or a lower version is ignored.
 package confsync
 
 import (
@@ -17,109 +17,116 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// askAgain is how long a peer may take to send the body before another is asked.
-// A body takes a few milliseconds; a peer that went silent is given up by its
-// session only after several hundred.
-const askAgain = 200 * time.Millisecond
+// requestTimeout is how long a peer may take to send a requested body before another
+// peer is asked. A transfer takes a few milliseconds; the session with an unresponsive
+// peer is closed only after several hundred.
+const requestTimeout = 200 * time.Millisecond
 
-// PeerID names a session; it is never reused.
+// PeerID identifies the session with a peer; it is never reused.
 type PeerID uint64
 
-// Replica has the newest configuration that the process knows. It is not safe for
-// concurrent use.
+// Replica is this process's copy of the configuration, of the highest version that it
+// has received. It is not safe for concurrent use.
 type Replica struct {
-	// Send queues a note for a peer.
+	// Send queues a note to be sent to a peer.
 	Send func(PeerID, wire.ConfigNote)
-	// Apply takes a newer body into force. An error means that it can't be read and
-	// is not kept.
+	// Apply puts a body of a higher version into effect. If it returns an error, the
+	// body is invalid and the current one is kept.
 	Apply func(now time.Time, version uint64, body []byte) error
 
-	version uint64
-	body    []byte
-	peers   map[PeerID]uint64 // version each has announced
-	asked   PeerID
-	askedAt time.Time
+	version       uint64
+	body          []byte
+	peers         map[PeerID]uint64 // highest version that each has announced; 0: none
+	requestedFrom PeerID
+	requestedAt   time.Time
 }
 
-// Version returns the version in force; 0 is none.
-func (h *Replica) Version() uint64 { return h.version }
+// Version returns the version in effect, or 0 if there is none.
+func (r *Replica) Version() uint64 { return r.version }
 
-// Body returns the configuration in force, as it came.
-func (h *Replica) Body() []byte { return h.body }
+// Body returns the encoded configuration in effect, as it was received.
+func (r *Replica) Body() []byte { return r.body }
 
-// PeerUp tells that a session is open. The peer is told the version.
-func (h *Replica) PeerUp(id PeerID) {
-	if h.peers == nil {
-		h.peers = map[PeerID]uint64{}
+// PeerUp adds a peer whose session has opened, and announces the version to it.
+func (r *Replica) PeerUp(id PeerID) {
+	if r.peers == nil {
+		r.peers = map[PeerID]uint64{}
 	}
-	h.peers[id] = 0
-	if h.version > 0 {
-		h.Send(id, wire.ConfigNote{Version: h.version})
+	r.peers[id] = 0
+	if r.version > 0 {
+		r.Send(id, wire.ConfigNote{Version: r.version})
 	}
 }
 
-// PeerDown tells that a session has ended.
-func (h *Replica) PeerDown(id PeerID) { delete(h.peers, id) }
+// PeerDown removes a peer whose session has ended.
+func (r *Replica) PeerDown(id PeerID) { delete(r.peers, id) }
 
-// HandleNote takes a peer's note.
-func (h *Replica) HandleNote(now time.Time, id PeerID, note *wire.ConfigNote) error {
+// HandleNote handles a note of a peer, which may announce a version, carry its body, or
+// request the body in effect here. A nil note and notes of removed peers are ignored.
+// The error is that of Apply.
+func (r *Replica) HandleNote(now time.Time, id PeerID, note *wire.ConfigNote) error {
 	if note == nil {
 		return nil
 	}
-	if _, up := h.peers[id]; !up {
+	if _, up := r.peers[id]; !up {
 		return nil
 	}
-	h.peers[id] = max(h.peers[id], note.Version)
+	r.peers[id] = max(r.peers[id], note.Version)
 	if len(note.Body) > 0 {
-		if err := h.Update(now, note.Version, note.Body); err != nil {
+		if err := r.Update(now, note.Version, note.Body); err != nil {
 			return err
 		}
 	}
-	if note.WantBody && h.version > 0 {
-		h.Send(id, wire.ConfigNote{Version: h.version, Body: h.body})
+	if note.WantBody && r.version > 0 {
+		r.Send(id, wire.ConfigNote{Version: r.version, Body: r.body})
 	}
-	h.ask(now)
+	r.requestBody(now)
 	return nil
 }
 
-// Update takes a body from the store or from a peer. One that is not newer changes
-// nothing.
-func (h *Replica) Update(now time.Time, version uint64, body []byte) error {
-	if version <= h.version {
+// Update applies a body from the store or from a peer, and announces its version to the
+// peers that have not announced it themselves. A body whose version is not higher than
+// the current one is ignored. The error is that of Apply.
+func (r *Replica) Update(now time.Time, version uint64, body []byte) error {
+	if version <= r.version {
 		return nil
 	}
-	if err := h.Apply(now, version, body); err != nil {
+	if err := r.Apply(now, version, body); err != nil {
 		return err
 	}
-	h.version, h.body, h.asked = version, body, 0
-	for id, known := range h.peers {
-		if known < version {
-			h.Send(id, wire.ConfigNote{Version: version})
+	r.version, r.body, r.requestedFrom = version, body, 0
+	for id, announced := range r.peers {
+		if announced < version {
+			r.Send(id, wire.ConfigNote{Version: version})
 		}
 	}
 	return nil
 }
 
-// Tick asks another peer where the one that was asked did not answer.
-func (h *Replica) Tick(now time.Time) { h.ask(now) }
+// Tick requests the body from another peer if a request has timed out. It must be called
+// regularly.
+func (r *Replica) Tick(now time.Time) { r.requestBody(now) }
 
-func (h *Replica) ask(now time.Time) {
-	if _, up := h.peers[h.asked]; up && now.Sub(h.askedAt) < askAgain {
+// requestBody requests the body from a peer that has announced a higher version, unless a
+// request is pending. A peer other than the last one asked is preferred, and among those
+// one with the highest version.
+func (r *Replica) requestBody(now time.Time) {
+	if _, up := r.peers[r.requestedFrom]; up && now.Sub(r.requestedAt) < requestTimeout {
 		return
 	}
-	last := h.asked
+	last := r.requestedFrom
 	var best PeerID
-	for id, known := range h.peers {
-		if known <= h.version {
+	for id, announced := range r.peers {
+		if announced <= r.version {
 			continue
 		}
-		if best == 0 || id != last && (best == last || known > h.peers[best]) {
+		if best == 0 || id != last && (best == last || announced > r.peers[best]) {
 			best = id
 		}
 	}
 	if best == 0 {
 		return
 	}
-	h.asked, h.askedAt = best, now
-	h.Send(best, wire.ConfigNote{Version: h.version, WantBody: true})
+	r.requestedFrom, r.requestedAt = best, now
+	r.Send(best, wire.ConfigNote{Version: r.version, WantBody: true})
 }
