--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -1,5 +1,5 @@
-// Package targetapi is the HTTP protocol between an agent and the target beside
-// it: the target announces itself to the agent, the agent runs tasks on it.
+// Package targetapi defines the HTTP protocol between an agent and the target on its
+// host: the target sends announcements to the agent, and the agent runs tasks on it.
 package targetapi
 
 import (
@@ -13,28 +13,30 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Paths of the protocol. The first is served by the agent, the second by the target.
+// Paths of the protocol: the agent serves AnnouncePath, the target RunPath.
 const (
 	AnnouncePath = "/v1/announce"
 	RunPath      = "/run"
 )
 
-// Headers of a call. HeaderNotRun in an answer of status 503 states that the task
-// has certainly not begun.
+// Headers of a call to RunPath and of its response. HeaderNotRun in a response of status
+// 503 guarantees that the task has not started.
 const (
 	HeaderTask   = "Camphorrack-Task" // "<job id>/<task index>"
 	HeaderClass  = "Camphorrack-Class"
 	HeaderNotRun = "Camphorrack-Not-Run"
 )
 
-// Timing of announcements. Silence is three announcements, so that one that was
-// lost or late does not take a healthy target out of service.
+// Timing of announcements. A target is unavailable once three announcements in a row are
+// missing, so that a single lost or late one does not take a healthy target out of
+// service.
 const (
 	AnnounceInterval = 500 * time.Millisecond
 	SilenceTimeout   = 3 * AnnounceInterval
 )
 
-// Limits of an announcement: far above any target, to catch mistakes.
+// Upper limits of an announcement's fields. They far exceed any real target and only
+// reject mistakes.
 const (
 	maxSlots       = 1 << 12
 	maxConnections = 1 << 16
@@ -43,21 +45,23 @@
 	maxCapacity    = 1 << 30
 )
 
-// Announcement is what a target says about itself.
+// Announcement is the body of a request to AnnouncePath: the address, capacity and state
+// of a target.
 type Announcement struct {
 	Name         string   `json:"name"`
-	Address      string   `json:"address"` // ip:port that serves RunPath
-	Classes      []string `json:"classes"` // empty means all
-	Slots        int      `json:"slots"`
-	Speed        float64  `json:"speed"`
-	Connections  int      `json:"connections"` // most that the agent may open
+	Address      string   `json:"address"`     // ip:port that serves RunPath
+	Classes      []string `json:"classes"`     // of the tasks that it runs; empty: all
+	Slots        int      `json:"slots"`       // number of tasks that it runs at once
+	Speed        float64  `json:"speed"`       // relative to a target of speed 1
+	Connections  int      `json:"connections"` // highest number that the agent may open
 	CPUMilli     int      `json:"cpu_milli"`
 	MemoryMB     int      `json:"memory_mb"`
 	Accelerators int      `json:"accelerators"`
-	Leaving      bool     `json:"leaving"`
+	Leaving      bool     `json:"leaving"` // it accepts no new tasks
 }
 
-// Validate validates the announcement. The error is a *fault.Fault that names the field.
+// Validate checks that all fields are within their limits. The error is a *fault.Fault
+// that names the first invalid field.
 func (a *Announcement) Validate() error {
 	addr, err := netip.ParseAddrPort(a.Address)
 	switch {
@@ -94,7 +98,7 @@
 	return fault.Input(fault.BadField, field, "takes "+strconv.Itoa(low)+" to "+strconv.Itoa(high))
 }
 
-// WireTarget is the announcement as owners get it.
+// WireTarget returns the announcement in the form that the agent reports to owners.
 func (a *Announcement) WireTarget() wire.Target {
 	return wire.Target{
 		Name: a.Name, Classes: a.Classes, Slots: a.Slots, Speed: a.Speed, Leaving: a.Leaving,
