--- a/internal/leased/evacuations.go
+++ b/internal/leased/evacuations.go
@@ -10,17 +10,20 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// OperatorTopic is where operators keep what they ask of the fleet.
+// OperatorTopic describes the keyed topic to which operators write the configuration and
+// the evacuations.
 type OperatorTopic struct {
 	Name      string
-	ConfigKey string
-	// EvacuatedDataCentre returns the data centre that a key evacuates; false: it is another record.
+	ConfigKey string // of the configuration
+	// EvacuatedDataCentre returns the data centre of an evacuation's key, empty if the key names
+	// none; ok is false for other keys.
 	EvacuatedDataCentre func(key string) (dataCentre string, ok bool)
 }
 
-// EvacuationRecords returns what entries of the operator's topic say of evacuations.
+// EvacuationRecords returns the evacuation records among entries of the topic. Records that
+// name no data centre are logged and left out.
 func (o OperatorTopic) EvacuationRecords(log logr.Logger, entries ...platformlog.Entry) []evacuation.Record {
-	var statements []evacuation.Record
+	var records []evacuation.Record
 	for _, e := range entries {
 		dataCentre, ok := o.EvacuatedDataCentre(e.Key)
 		if !ok {
@@ -30,28 +33,29 @@
 			event.Log(log, event.EvacuationBad, "topic", o.Name, "key", e.Key, "offset", e.Offset)
 			continue
 		}
-		statements = append(statements, evacuation.Record{DataCentre: dataCentre, Offset: e.Offset, Lifted: len(e.Value) == 0})
+		records = append(records, evacuation.Record{DataCentre: dataCentre, Offset: e.Offset, Lifted: len(e.Value) == 0})
 	}
-	return statements
+	return records
 }
 
-// NewEvacuationReplica returns what a daemon knows of evacuations: send passes it on, and evacuate puts
-// what changes into force.
+// NewEvacuationReplica returns a daemon's replica of the evacuation records. send queues records
+// for a peer, and evacuate applies each change; changes are logged.
 func NewEvacuationReplica(log logr.Logger, send func(evacuation.PeerID, []evacuation.Record), evacuate func(now time.Time, dataCentre string, lifted bool)) *evacuation.Replica {
-	return &evacuation.Replica{Send: send, OnChange: func(now time.Time, s evacuation.Record, peer evacuation.PeerID) {
-		logEvacuation(log, s, peer)
-		evacuate(now, s.DataCentre, s.Lifted)
+	return &evacuation.Replica{Send: send, OnChange: func(now time.Time, rec evacuation.Record, peer evacuation.PeerID) {
+		logEvacuation(log, rec, peer)
+		evacuate(now, rec.DataCentre, rec.Lifted)
 	}}
 }
 
-// logEvacuation writes the line of a changed belief.
-func logEvacuation(log logr.Logger, s evacuation.Record, peer evacuation.PeerID) {
+// logEvacuation logs an evacuation or its lifting, and whether the record comes from the log or
+// a peer.
+func logEvacuation(log logr.Logger, rec evacuation.Record, peer evacuation.PeerID) {
 	id, from := event.EvacuationBegun, "log"
-	if s.Lifted {
+	if rec.Lifted {
 		id = event.EvacuationLifted
 	}
 	if peer != 0 {
 		from = "peer"
 	}
-	event.Log(log, id, "data_centre", s.DataCentre, "offset", s.Offset, "from", from, "conn", uint64(peer))
+	event.Log(log, id, "data_centre", rec.DataCentre, "offset", rec.Offset, "from", from, "conn", uint64(peer))
 }
--- a/internal/leased/leased.go
+++ b/internal/leased/leased.go
@@ -1,7 +1,7 @@
-// Package leased holds what the two daemons in front of leased targets, the
-// dispatcher on entry hosts and the runner beside each target, do alike: the watch
-// over their sessions, the records by which runners find dispatchers, the metrics
-// page and the HTTP servers.
+// Package leased contains the code shared by the two daemons in front of leased targets,
+// the dispatcher on entry hosts and the runner beside each target: the options of their
+// sessions, the records by which runners discover dispatchers, the handling of
+// evacuations, the metrics page and the HTTP servers.
 package leased
 
 import (
@@ -25,59 +25,61 @@
 
 func init() { gin.SetMode(gin.ReleaseMode) }
 
-// EntriesTopic is the keyed topic in which each dispatcher keeps the record of where
-// it is reached, under its host's name.
+// EntriesTopic is the keyed topic in which each dispatcher publishes its Record, under the
+// name of its host.
 const EntriesTopic = "camphorrack-entries"
 
-// MetricsTimeout is how long a reader of the metrics waits for the control goroutine:
-// shorter than scrapers wait, and longer than any of its batches takes.
+// MetricsTimeout is how long a request for the metrics waits for the control goroutine:
+// less than the timeout of scrapers, and more than any batch of commands takes.
 const MetricsTimeout = 500 * time.Millisecond
 
-// MetricsPath is where the metrics are served.
+// MetricsPath is the path of the metrics page.
 const MetricsPath = "/metrics"
 
-// The watch over a session. A caller whose connection broke sends its job again to
-// any entry after a pause, 1.3 s on the present deployments; by then the runs of the
-// old owner must be over. An agent finds an owner silent at most Silent and one
-// heartbeat after its last word, and a stop takes some tens of milliseconds: 0.75 s
-// and 0.1 s, which leaves 0.4 s for a stop that has to be repeated. It is no shorter,
-// because each end of a session costs the work that runs over it.
+// Heartbeats and silence timeout of a session. A caller whose connection broke resubmits
+// its job to any entry after a delay, 1.3 s in present deployments; by then the runs of
+// the former owner must have ended. An agent detects the loss of an owner at most
+// silenceTimeout and one heartbeat interval after its last frame, 0.75 s, and a stop takes
+// some tens of milliseconds, at most 0.1 s. That leaves 0.4 s for a stop that has to be
+// repeated. The timeout is no shorter, because the end of a session costs the work that
+// runs over it.
 const (
-	heartbeat = 150 * time.Millisecond
-	silent    = 600 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
+	silenceTimeout    = 600 * time.Millisecond
 )
 
-// dialTimeout bounds a connection to a dispatcher, some milliseconds away. A host that
-// is just coming back loses the first packet, and TCP alone sends the next one after a
-// second.
+// dialTimeout bounds the TCP connect to a dispatcher, which takes some milliseconds. A
+// host that is restarting loses the first packet, and TCP retransmits it only after a
+// second; a new connect is faster.
 const dialTimeout = 120 * time.Millisecond
 
-// SessionOptions returns the watch over sessions; an idle session is watched as
-// closely as a busy one, because a job may come at any moment.
+// SessionOptions returns the options of sessions between dispatchers and runners. They are
+// the same for idle and busy sessions, because a job may arrive at any moment.
 func SessionOptions(c *session.Counters) session.Options {
 	return session.Options{
-		HeartbeatInterval: heartbeat, SilenceTimeout: silent, IdleHeartbeatInterval: heartbeat, IdleSilenceTimeout: silent,
+		HeartbeatInterval: heartbeatInterval, SilenceTimeout: silenceTimeout, IdleHeartbeatInterval: heartbeatInterval, IdleSilenceTimeout: silenceTimeout,
 		DialTimeout: dialTimeout, Counters: c,
 	}
 }
 
-// Record is what a dispatcher says of itself in EntriesTopic.
+// Record is the value of a dispatcher's key in EntriesTopic: the address that accepts
+// sessions, and the data centre.
 type Record struct {
 	Addr       string `json:"addr"`
 	DataCentre string `json:"data_centre"`
 }
 
-// Encode returns the record's bytes.
+// Encode returns the record as JSON.
 func (r Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(errors.NewAssertionErrorWithWrappedErrf(err, "encode a record of strings"))
+		panic(errors.NewAssertionErrorWithWrappedErrf(err, "encode the record of an entry"))
 	}
 	return b
 }
 
-// ParseRecord reads a record. Records of another form are the work of another
-// version, or of another program.
+// ParseRecord decodes a record. An error means that the value comes from another version
+// or another program.
 func ParseRecord(value []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -89,13 +91,14 @@
 	return r, nil
 }
 
-// LimitMemory keeps the collector ahead of the host's limit: a process above it is
-// killed. What is received and not read counts too, so a third is left.
+// LimitMemory sets the garbage collector's memory limit to two thirds of the host's limit
+// in MB: a process above the host's limit is killed, and data received but not read yet
+// counts towards it.
 func LimitMemory(limitMB int) { debug.SetMemoryLimit(int64(limitMB) << 20 * 2 / 3) }
 
-// Metrics returns the handler of the metrics page: a name and a value a line, and for
-// histograms a line for each of some quantiles. refresh copies the control state's figures
-// first, so that they cost nothing while nobody reads them.
+// Metrics returns the handler of the metrics page in the format of WriteMetrics. refresh
+// copies the figures of the control state for each request, so that they cost nothing
+// between requests. If it fails, the page shows the previous figures.
 func Metrics(log logr.Logger, r metrics.Registry, refresh func() error) gin.HandlerFunc {
 	return func(g *gin.Context) {
 		if err := refresh(); err != nil {
@@ -106,7 +109,8 @@
 	}
 }
 
-// WriteMetrics writes the metrics as text.
+// WriteMetrics writes the metrics as text, sorted by name: a line with name and value for
+// each counter and gauge, and a line per quantile for each histogram.
 func WriteMetrics(w io.Writer, r metrics.Registry) {
 	var names []string
 	r.Each(func(name string, _ any) { names = append(names, name) })
@@ -130,29 +134,30 @@
 	}
 }
 
-// Counters are the metrics of a daemon: those that all share, and gauges that are copied
-// from its control state.
+// Counters are the metrics of a daemon: those that all daemons have, and gauges that are
+// copied from its control state.
 type Counters struct {
 	gauges.Set
 	Sessions *session.Counters
 }
 
-// NewCounters returns the counters of a daemon; queued tells how many commands wait.
+// NewCounters returns the metrics of a daemon. queued returns the number of commands queued
+// for its control goroutine.
 func NewCounters(queued func() int) Counters {
 	c := Counters{Sessions: &session.Counters{}}
 	c.Set = gauges.New(c.Sessions, queued)
 	return c
 }
 
-// SetGauge sets a gauge to a figure of the control state.
+// SetGauge sets a gauge, and registers it on the first call.
 func (c Counters) SetGauge(name string, value uint64) {
 	metrics.GetOrRegisterGauge(name, c.Registry).Update(int64(value))
 }
 
-// Histogram registers a histogram that favours the last five minutes.
+// Histogram registers a histogram whose sample is weighted towards the last five minutes.
 func (c Counters) Histogram(name string) metrics.Histogram {
 	return metrics.NewRegisteredHistogram(name, c.Registry, metrics.NewExpDecaySample(histogramSamples, 0.015))
 }
 
-// histogramSamples is the size of a histogram's sample: enough for a 99th percentile.
+// histogramSamples is the size of a histogram's sample, enough for a 99th percentile.
 const histogramSamples = 1028
--- a/internal/leased/metrics_test.go
+++ b/internal/leased/metrics_test.go
@@ -13,9 +13,9 @@
 	"github.com/camphorrack/camphorrack/internal/leased"
 )
 
-// Somebody looks for the cause of a failure by the counters. They must be those of now;
-// and a daemon that is too busy to give them must still show the last ones.
-func TestMetricsAreOfTheMoment(t *testing.T) {
+// Guards against stale figures on the metrics page while an operator investigates a failure, and
+// against an empty page if the daemon is too busy to refresh them: it must show the previous ones.
+func TestMetricsAreRefreshedOnRead(t *testing.T) {
 	g := NewWithT(t)
 	registry := metrics.NewRegistry()
 	jobs, busy := int64(3), false
--- a/internal/leased/server.go
+++ b/internal/leased/server.go
@@ -15,37 +15,38 @@
 	"github.com/camphorrack/camphorrack/internal/logging"
 )
 
-// acceptPause is how long a server waits after a connection that it could not take. The
-// usual cause is a process without free file descriptors; others end within this time, and
-// each failure leaves a log line.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is how long a server waits after a failed accept. The usual cause is that
+// the process has no free file descriptors: some connections close within this time, and the
+// log lines, one per failure, are limited.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// ConnLimits bound what a client's connection may take up; 0 is no limit of time, and
-// net/http's of bytes.
+// ConnLimits are the limits of a client's connection. A zero timeout is no timeout; zero
+// HeaderBytes is the default of net/http.
 type ConnLimits struct {
-	HeaderBytes   int
+	HeaderBytes   int           // size of a request's header
 	HeaderTimeout time.Duration // from the first byte of a request to the end of its header
 	IdleTimeout   time.Duration // between requests
 }
 
 // Server is an HTTP server on one address whose limits can be changed while it serves.
-// net/http reads its limits without a lock, so each change begins a new http.Server:
-// it takes the connections to come, and those that are open go on by the limits that
-// they were opened under. Closing them would break requests that are on their way.
+// net/http reads its limits without a lock, so each change starts a new http.Server for
+// new connections. Open connections stay with their server and its limits; closing them
+// would break requests in progress.
 type Server struct {
 	log         logr.Logger
-	what        string
+	purpose     string // for the log
 	listener    net.Listener
 	handler     http.Handler
 	connContext func(context.Context, net.Conn) context.Context
 
-	mu      sync.Mutex
-	limits  ConnLimits
-	current *generation
-	all     []*http.Server
+	mu          sync.Mutex
+	limits      ConnLimits
+	current     *generation
+	httpServers []*http.Server
 }
 
-// generation takes connections from one change of the limits to the next.
+// generation is the listener of one http.Server. It accepts the connections that arrive
+// between one change of the limits and the next.
 type generation struct {
 	addr   net.Addr
 	conns  chan net.Conn
@@ -74,71 +75,73 @@
 
 // Servers are the servers of one daemon.
 type Servers struct {
-	all []*Server
+	servers []*Server
 }
 
-// Endpoint is one address of a daemon. An empty Addr is not served.
+// Endpoint is an address of a daemon and what it serves there. If Addr is empty, it is not
+// served.
 type Endpoint struct {
 	Purpose string // for the log and errors
 	Addr    string
 	Handler http.Handler
 }
 
-// Listen binds each service's address and returns the last server, nil where there is
-// none. After an error, Close frees what was bound.
+// Listen binds the address of each endpoint and returns the server of the last one, or nil
+// if there is none. After an error, Close releases the addresses that were bound.
 func (s *Servers) Listen(log logr.Logger, limits ConnLimits, connContext func(context.Context, net.Conn) context.Context,
-	services ...Endpoint) (*Server, error) {
+	endpoints ...Endpoint) (*Server, error) {
 	var last *Server
-	for _, service := range services {
-		if service.Addr == "" {
+	for _, endpoint := range endpoints {
+		if endpoint.Addr == "" {
 			continue
 		}
-		server, err := Listen(log, service.Purpose, service.Addr, service.Handler, limits, connContext)
+		server, err := Listen(log, endpoint.Purpose, endpoint.Addr, endpoint.Handler, limits, connContext)
 		if err != nil {
 			return nil, err
 		}
-		s.all = append(s.all, server)
+		s.servers = append(s.servers, server)
 		last = server
 	}
 	return last, nil
 }
 
-// Serve serves all of them until Close.
+// Serve starts a goroutine for each server, which serves until Close.
 func (s *Servers) Serve() {
-	for _, server := range s.all {
+	for _, server := range s.servers {
 		go server.Serve()
 	}
 }
 
-// Close ends all of them at once.
+// Close closes all servers and their connections at once.
 func (s *Servers) Close() {
-	for _, server := range s.all {
+	for _, server := range s.servers {
 		server.Close()
 	}
 }
 
-// Listen binds an address; Serve begins to serve it. connContext may be nil.
-func Listen(log logr.Logger, what, addr string, handler http.Handler, limits ConnLimits,
+// Listen returns a server that is bound to an address but does not serve before Serve is
+// called. purpose names the endpoint in the log and in errors. connContext may be nil.
+func Listen(log logr.Logger, purpose, addr string, handler http.Handler, limits ConnLimits,
 	connContext func(context.Context, net.Conn) context.Context) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen for %s on %s", what, addr)
+		return nil, errors.Wrapf(err, "listen for %s on %s", purpose, addr)
 	}
-	return NewServer(log, what, listener, handler, limits, connContext), nil
+	return NewServer(log, purpose, listener, handler, limits, connContext), nil
 }
 
-// NewServer is Listen on a listener that is open already.
-func NewServer(log logr.Logger, what string, listener net.Listener, handler http.Handler, limits ConnLimits,
+// NewServer is like Listen, with a listener that is open already.
+func NewServer(log logr.Logger, purpose string, listener net.Listener, handler http.Handler, limits ConnLimits,
 	connContext func(context.Context, net.Conn) context.Context) *Server {
-	s := &Server{log: log, what: what, listener: listener, handler: handler, connContext: connContext, limits: limits}
-	s.begin()
+	s := &Server{log: log, purpose: purpose, listener: listener, handler: handler, connContext: connContext, limits: limits}
+	s.startGeneration()
 	return s
 }
 
 // Addr returns the bound address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetLimits puts other limits in force for the connections to come.
+// SetLimits sets the limits of new connections.
 func (s *Server) SetLimits(limits ConnLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,31 +149,33 @@
 		return
 	}
 	s.limits = limits
-	former := s.current
-	s.begin()
-	_ = former.Close() // never fails; its connections live on
+	previous := s.current
+	s.startGeneration()
+	_ = previous.Close() // never fails; its connections stay open
 }
 
-// begin makes the generation that takes connections from now on.
-func (s *Server) begin() {
+// startGeneration starts an http.Server with the current limits, which gets all new
+// connections. The caller holds the lock, except in NewServer.
+func (s *Server) startGeneration() {
 	server := &http.Server{
 		Handler: s.handler, ConnContext: s.connContext,
 		MaxHeaderBytes: s.limits.HeaderBytes, ReadHeaderTimeout: s.limits.HeaderTimeout, IdleTimeout: s.limits.IdleTimeout,
-		// What the library would print as plain text is for debugging only.
+		// net/http logs plain text, which is only useful for debugging.
 		ErrorLog: slog.NewLogLogger(logr.ToSlogHandler(s.log.V(logging.LevelDebug)), slog.LevelInfo),
 	}
 	g := &generation{addr: s.listener.Addr(), conns: make(chan net.Conn), closed: make(chan struct{})}
-	s.current, s.all = g, append(s.all, server)
+	s.current, s.httpServers = g, append(s.httpServers, server)
 	go func() { _ = server.Serve(g) }() // ends with the generation
 }
 
-func (s *Server) generation() *generation {
+func (s *Server) currentGeneration() *generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
-// Serve serves until Shutdown or Close.
+// Serve accepts connections until Shutdown or Close is called. It continues after failed
+// accepts.
 func (s *Server) Serve() {
 	for {
 		c, err := s.listener.Accept()
@@ -178,36 +183,37 @@
 			return
 		}
 		if err != nil {
-			event.Log(s.log, event.AcceptFailed, "serves", s.what, "error", err.Error())
-			time.Sleep(acceptPause)
+			event.Log(s.log, event.AcceptFailed, "serves", s.purpose, "error", err.Error())
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.hand(c)
+		s.assign(c)
 	}
 }
 
-// hand gives a connection to the newest generation.
-func (s *Server) hand(c net.Conn) {
+// assign passes a connection to the current generation, or closes it if the server is
+// closed.
+func (s *Server) assign(c net.Conn) {
 	for {
-		g := s.generation()
+		g := s.currentGeneration()
 		select {
 		case g.conns <- c:
 			return
 		case <-g.closed:
 		}
-		if g == s.generation() { // the server is closed
+		if g == s.currentGeneration() { // the server is closed
 			_ = c.Close()
 			return
 		}
 	}
 }
 
-// Shutdown stops listening and waits until the requests that are under way have their
-// answers, or the context ends.
+// Shutdown stops listening and waits until the requests in progress are answered or the
+// context ends. It returns the first error.
 func (s *Server) Shutdown(ctx context.Context) error {
-	_ = s.listener.Close() // closed before: nothing more comes
+	_ = s.listener.Close() // an error only means that it is closed already
 	var first error
-	for _, server := range s.servers() {
+	for _, server := range s.allHTTPServers() {
 		if err := server.Shutdown(ctx); err != nil && first == nil {
 			first = err
 		}
@@ -215,16 +221,16 @@
 	return first
 }
 
-// Close ends the server and its connections.
+// Close closes the server and its connections at once.
 func (s *Server) Close() {
 	_ = s.listener.Close()
-	for _, server := range s.servers() {
-		_ = server.Close() // the process ends, or never served
+	for _, server := range s.allHTTPServers() {
+		_ = server.Close() // the process ends, or has never served
 	}
 }
 
-func (s *Server) servers() []*http.Server {
+func (s *Server) allHTTPServers() []*http.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.all
+	return s.httpServers
 }
--- a/internal/leased/server_test.go
+++ b/internal/leased/server_test.go
@@ -15,9 +15,9 @@
 	"github.com/camphorrack/camphorrack/internal/leased"
 )
 
-// ask sends a request with a header of some length over a connection and returns the
-// status of the answer.
-func ask(g *WithT, c net.Conn, headerBytes int) int {
+// sendRequest sends a request with a header of the given length over a connection and returns the
+// status code of the response.
+func sendRequest(g *WithT, c net.Conn, headerBytes int) int {
 	_, err := c.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\nX-Long: " + strings.Repeat("x", headerBytes) + "\r\n\r\n"))
 	g.Expect(err).NotTo(HaveOccurred())
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -26,7 +26,8 @@
 	return response.StatusCode
 }
 
-func serve(t *testing.T, limits leased.ConnLimits) (s *leased.Server, dial func() net.Conn) {
+// startServer starts a server and returns a function that opens connections to it.
+func startServer(t *testing.T, limits leased.ConnLimits) (s *leased.Server, dial func() net.Conn) {
 	g := NewWithT(t)
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	s, err := leased.Listen(logr.Discard(), "a test", "127.0.0.1:0", ok, limits, nil)
@@ -41,38 +42,37 @@
 	}
 }
 
-// An operator lowers the size of headers while callers have connections open. New
-// connections must keep to it; a request on its way over an old one must not break.
-func TestLimitsChangeForNewConnections(t *testing.T) {
+// Guards against ignoring a lower limit of the header size on new connections, and against breaking
+// requests on connections that were open when an operator lowered it.
+func TestChangedLimitsApplyToNewConnections(t *testing.T) {
 	g := NewWithT(t)
-	s, dial := serve(t, leased.ConnLimits{HeaderBytes: 64 << 10})
+	s, dial := startServer(t, leased.ConnLimits{HeaderBytes: 64 << 10})
 	old := dial()
-	g.Expect(ask(g, old, 32<<10)).To(Equal(http.StatusNoContent))
+	g.Expect(sendRequest(g, old, 32<<10)).To(Equal(http.StatusNoContent))
 	s.SetLimits(leased.ConnLimits{HeaderBytes: 8 << 10})
-	g.Expect(ask(g, dial(), 32<<10)).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
-	g.Expect(ask(g, dial(), 1<<10)).To(Equal(http.StatusNoContent))
-	g.Expect(ask(g, old, 32<<10)).To(Equal(http.StatusNoContent))
+	g.Expect(sendRequest(g, dial(), 32<<10)).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
+	g.Expect(sendRequest(g, dial(), 1<<10)).To(Equal(http.StatusNoContent))
+	g.Expect(sendRequest(g, old, 32<<10)).To(Equal(http.StatusNoContent))
 }
 
-// A client opens a connection and sends its header a byte at a time, or nothing at all
-// after an answer. Enough of them would hold all the memory of a host.
-func TestSlowAndIdleConnectionsEnd(t *testing.T) {
+// Guards against clients that send a header a byte at a time, or nothing at all after a response:
+// enough such connections would use up the memory of a host.
+func TestSlowAndIdleConnectionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
-	s, dial := serve(t, leased.ConnLimits{})
+	s, dial := startServer(t, leased.ConnLimits{})
 	s.SetLimits(leased.ConnLimits{HeaderTimeout: 20 * time.Millisecond, IdleTimeout: 20 * time.Millisecond})
 	slow := dial()
 	_, err := slow.Write([]byte("GET / HT"))
 	g.Expect(err).NotTo(HaveOccurred())
 	idle := dial()
-	g.Expect(ask(g, idle, 1)).To(Equal(http.StatusNoContent))
+	g.Expect(sendRequest(g, idle, 1)).To(Equal(http.StatusNoContent))
 	for _, c := range []net.Conn{slow, idle} {
-		_, err := bufio.NewReader(c).ReadBytes(0) // to the end of the connection
+		_, err := bufio.NewReader(c).ReadBytes(0) // until the connection is closed
 		g.Expect(err).To(MatchError("EOF"))
 	}
 }
 
-// failingListener can't take its first connections, as where a process has no free file
-// descriptors.
+// failingListener fails its first accepts, like that of a process without free file descriptors.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -86,9 +86,9 @@
 	return f.Listener.Accept()
 }
 
-// A burst of callers takes all file descriptors for a moment. An entry that gave up its
-// listener then would run on, look well, and take nobody any more.
-func TestServerOutlivesFailuresToAccept(t *testing.T) {
+// Guards against a server that stops accepting after a burst of callers has used up all file
+// descriptors for a moment: the entry would keep running and look healthy without serving anybody.
+func TestServerContinuesAfterAcceptErrors(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -100,5 +100,5 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = c.Close() })
 	g.Expect(c.SetDeadline(time.Now().Add(20 * time.Second))).To(Succeed())
-	g.Expect(ask(g, c, 1)).To(Equal(http.StatusNoContent))
+	g.Expect(sendRequest(g, c, 1)).To(Equal(http.StatusNoContent))
 }
--- a/internal/leased/simlog_test.go
+++ b/internal/leased/simlog_test.go
@@ -10,41 +10,42 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// evacuationBound is when a data centre that an operator evacuates gets no more work, whatever
-// happens to sessions and entries meanwhile.
-const evacuationBound = 2500 * time.Millisecond
+// maxEvacuationDelay is the time from an operator's evacuation of a data centre until no more task
+// starts there, whatever happens to sessions and entries meanwhile.
+const maxEvacuationDelay = 2500 * time.Millisecond
 
-// dataCentre returns where a host is.
+// dataCentre returns the data centre of a host.
 func dataCentre(host int) string { return fmt.Sprint("dc", host) }
 
-// simLog is the operators' part of the platform's log.
+// simLog is the operators' topic of the platform's log.
 type simLog struct {
-	records []evacuation.Record  // an offset each
-	first   int                  // the lowest offset that is kept
-	since   map[string]time.Time // of the evacuations in force
-	newest  map[string]evacuation.Record
+	records        []evacuation.Record  // by offset
+	firstOffset    int                  // the lowest offset that can still be read
+	evacuatedSince map[string]time.Time // by data centre, of the evacuations in effect
+	newest         map[string]evacuation.Record
 }
 
-// write adds a record.
-func (l *simLog) write(w *simWorld, dataCentre string, lifted bool) {
+// appendRecord appends the evacuation of a data centre, or its lifting.
+func (l *simLog) appendRecord(w *simWorld, dataCentre string, lifted bool) {
 	s := evacuation.Record{DataCentre: dataCentre, Offset: uint64(len(l.records)), Lifted: lifted}
 	l.records = append(l.records, s)
 	if l.newest == nil {
-		l.newest, l.since = map[string]evacuation.Record{}, map[string]time.Time{}
+		l.newest, l.evacuatedSince = map[string]evacuation.Record{}, map[string]time.Time{}
 	}
-	_, before := l.since[dataCentre]
+	_, wasEvacuated := l.evacuatedSince[dataCentre]
 	switch {
 	case lifted:
-		delete(l.since, dataCentre)
-	case !before:
-		l.since[dataCentre] = w.now
+		delete(l.evacuatedSince, dataCentre)
+	case !wasEvacuated:
+		l.evacuatedSince[dataCentre] = w.now
 	}
 	l.newest[dataCentre] = s
-	w.note("", "evacuation of %s, lifted %t, offset %d", dataCentre, lifted, s.Offset)
+	w.logf("", "evacuation of %s, lifted %t, offset %d", dataCentre, lifted, s.Offset)
 }
 
-// listed returns the evacuations among the newest keys: a lifted one is no key any more.
-func (l *simLog) listed() []evacuation.Record {
+// snapshot returns the evacuations among the newest values of the keys. Lifting an evacuation
+// removes its key.
+func (l *simLog) snapshot() []evacuation.Record {
 	var list []evacuation.Record
 	for _, s := range l.newest {
 		if !s.Lifted {
@@ -54,19 +55,21 @@
 	return list
 }
 
-// simEntry is an entry with what it has read of the log.
+// simEntry is an entry's control state with its replica of the evacuations and its position in
+// the log.
 type simEntry struct {
 	*dispatch.Core
-	belief     *evacuation.Replica
-	next       int
-	reread     bool
-	turnedAway bool
-	evacuated  map[string]bool
+	evacuations    *evacuation.Replica
+	nextOffset     int
+	needsSnapshot  bool
+	logUnavailable bool
+	evacuated      map[string]bool
 }
 
-func (e *simEntry) believe() {
+// resetEvacuations replaces the entry's replica by an empty one, as after a restart.
+func (e *simEntry) resetEvacuations() {
 	e.evacuated = map[string]bool{}
-	e.belief = &evacuation.Replica{
+	e.evacuations = &evacuation.Replica{
 		Send: func(id evacuation.PeerID, list []evacuation.Record) { e.QueueEvacuations(dispatch.ConnID(id), list) },
 		OnChange: func(now time.Time, s evacuation.Record, _ evacuation.PeerID) {
 			e.evacuated[s.DataCentre] = !s.Lifted
@@ -75,25 +78,26 @@
 	}
 }
 
-// read takes what the log has for the entry.
-func (e *simEntry) read(w *simWorld) {
+// readLog merges the unread records of the log, or a snapshot where records may be missing.
+func (e *simEntry) readLog(w *simWorld) {
 	switch {
-	case e.turnedAway:
-		e.reread = true
-	case e.reread || e.next < w.log.first:
-		e.belief.MergeSnapshot(w.now, w.log.listed(), uint64(len(w.log.records)))
-		e.next, e.reread = len(w.log.records), false
+	case e.logUnavailable:
+		e.needsSnapshot = true
+	case e.needsSnapshot || e.nextOffset < w.log.firstOffset:
+		e.evacuations.MergeSnapshot(w.now, w.log.snapshot(), uint64(len(w.log.records)))
+		e.nextOffset, e.needsSnapshot = len(w.log.records), false
 	default:
-		for ; e.next < len(w.log.records); e.next++ {
-			e.belief.MergeRecord(w.now, w.log.records[e.next])
+		for ; e.nextOffset < len(w.log.records); e.nextOffset++ {
+			e.evacuations.MergeRecord(w.now, w.log.records[e.nextOffset])
 		}
 	}
 }
 
-func (h *simHost) believe() {
+// resetEvacuations replaces the runner's replica by an empty one, as after a restart.
+func (h *simHost) resetEvacuations() {
 	table := h.table
 	h.evacuated = map[string]bool{}
-	h.belief = &evacuation.Replica{
+	h.evacuations = &evacuation.Replica{
 		Send: func(id evacuation.PeerID, list []wire.Evacuation) { table.QueueEvacuations(runs.ConnID(id), list) },
 		OnChange: func(now time.Time, s evacuation.Record, _ evacuation.PeerID) {
 			h.evacuated[s.DataCentre] = !s.Lifted
@@ -102,28 +106,29 @@
 	}
 }
 
-// checkEvacuated fails a start in a data centre that has been evacuated for longer than the bound.
+// checkEvacuated fails the test if a task starts in a data centre that has been evacuated for longer
+// than maxEvacuationDelay.
 func (w *simWorld) checkEvacuated(id runs.RunID, host int) {
-	since, out := w.log.since[dataCentre(host)]
-	if out && !w.carriedOutLate && w.now.Sub(since) > evacuationBound {
+	since, evacuated := w.log.evacuatedSince[dataCentre(host)]
+	if evacuated && !w.applyingLateStart && w.now.Sub(since) > maxEvacuationDelay {
 		w.fail(id.Task.Job, "task %v starts on host %d, %s after its data centre was evacuated", id.Task, host, w.now.Sub(since))
 	}
 }
 
-// checkBeliefs fails where a process believes otherwise than the log says, long after its last
-// record.
-func (w *simWorld) checkBeliefs() {
+// checkReplicas fails the test if the replica of a process differs from the log long after the log's
+// last record.
+func (w *simWorld) checkReplicas() {
 	for host := range hostCount {
 		name := dataCentre(host)
-		_, out := w.log.since[name]
+		_, evacuated := w.log.evacuatedSince[name]
 		for n, e := range w.entries {
-			if e.evacuated[name] != out {
-				w.fail("", "entry %d believes evacuated=%t of %s", n, e.evacuated[name], name)
+			if e.evacuated[name] != evacuated {
+				w.fail("", "entry %d has evacuated=%t for %s", n, e.evacuated[name], name)
 			}
 		}
 		for _, h := range w.hosts {
-			if h.evacuated[name] != out {
-				w.fail("", "runner %d believes evacuated=%t of %s", h.n, h.evacuated[name], name)
+			if h.evacuated[name] != evacuated {
+				w.fail("", "runner %d has evacuated=%t for %s", h.n, h.evacuated[name], name)
 			}
 		}
 	}
