--- a/internal/leased/simhost_test.go
+++ b/internal/leased/simhost_test.go
@@ -72,8 +72,8 @@
 
 // renew makes one renewal of the lease.
 func (h *simHost) renew() {
-	c, due := h.table.NextRenewal(h.w.now)
-	if !due {
+	c, known := h.table.NextRenewal(h.w.now)
+	if !known {
 		return
 	}
 	sentAt, table := h.w.now, h.table
--- a/internal/runner/counters.go
+++ b/internal/runner/counters.go
@@ -7,7 +7,7 @@
 	"github.com/camphorrack/camphorrack/internal/runs"
 )
 
-// counters are what the metrics page shows.
+// counters are the metrics of the runner.
 type counters struct {
 	leased.Counters
 	startUs metrics.Histogram
@@ -19,7 +19,7 @@
 	return c
 }
 
-// update copies the control state's figures.
+// update copies the figures of the control state to the gauges.
 func (c *counters) update(t *runs.Table) {
 	n := t.Counts()
 	c.SetGauge("runs.open", uint64(t.Runs()))
@@ -32,12 +32,12 @@
 	c.SetGauge("runs.not_run", n.NotRun)
 	c.SetGauge("runs.starts_unanswered", n.Unanswered)
 	c.SetGauge("runs.sessions_ended", n.SessionsEnded)
-	c.SetGauge("runs.evacuated", flag(t.Evacuated()))
+	c.SetGauge("runs.evacuated", boolGauge(t.Evacuated()))
 }
 
-// flag is a gauge of something that is so, 1, or not, 0.
-func flag(is bool) uint64 {
-	if is {
+// boolGauge returns the value of a gauge for a condition: 1 if it holds, 0 otherwise.
+func boolGauge(holds bool) uint64 {
+	if holds {
 		return 1
 	}
 	return 0
--- a/internal/runner/dialers.go
+++ b/internal/runner/dialers.go
@@ -17,130 +17,133 @@
 )
 
 const (
-	// entrySessions is how many dispatchers a runner keeps sessions with. Each costs both
-	// ends heartbeats and reports of the load; with all of them, the work of a small entry
-	// host grows with the fleet until it serves nobody. With a few only, a dispatcher would
-	// see too few targets to spread a wide job over.
-	entrySessions = 12
+	// maxEntrySessions is the number of dispatchers with which a runner keeps sessions. Each
+	// session costs both ends heartbeats and load reports; with a session to every dispatcher,
+	// the work of a small entry host would grow with the fleet until it serves nobody. With few
+	// sessions, a dispatcher would know too few targets to spread a wide job over.
+	maxEntrySessions = 12
 	// dialTimeout bounds a dial and its handshake: a host without power does not
 	// answer at all.
 	dialTimeout = 600 * time.Millisecond
-	// firstRetry comes soon, because an entry without its runners serves nobody;
-	// lastRetry bounds how long an entry that is back stays without them.
-	firstRetry = 30 * time.Millisecond
-	lastRetry  = 200 * time.Millisecond
-	// steadyAfter is how long a session must last for the next retry to be soon.
-	steadyAfter = 2 * time.Second
-	// downAfter is how long an entry may be out of reach before another one takes its
-	// place. Restarts are over by then: replaced at once, each would move the sessions of
-	// a whole data centre there and back.
+	// The first retry follows soon, because an entry without its runners serves nobody;
+	// maxRetryInterval bounds how long an entry that has restarted stays without them.
+	initialRetryInterval = 30 * time.Millisecond
+	maxRetryInterval     = 200 * time.Millisecond
+	// stableAfter is how long a session must last to reset the retry interval.
+	stableAfter = 2 * time.Second
+	// downAfter is how long an entry may be unreachable before another one replaces it. It is
+	// longer than a restart: with immediate replacement, each restart would move the sessions
+	// of a whole data centre there and back.
 	downAfter = 5 * time.Second
-	// downRetry is how often an entry is tried that another one stands in for.
-	downRetry = time.Second
-	// strangeAfter is how long an address that no record names is tried without
-	// success before it is forgotten: it was named by a neighbour or by the settings,
-	// and its host is gone for good.
-	strangeAfter = 2 * time.Minute
-	// aliasRetry is how often an address is tried that leads to an entry with which there
-	// is a session at another one.
-	aliasRetry = 2 * time.Second
-	// gatherFor is how long what is learned of entries gathers before the choice is made
-	// anew: a read of the store names them all within it.
-	gatherFor = 25 * time.Millisecond
-	// maxKnown bounds the addresses that are remembered.
-	maxKnown = 1024
+	// downRetryInterval is the retry interval for an entry that has been replaced.
+	downRetryInterval = time.Second
+	// unrecordedTTL is how long an address that no record names may be unreachable before it
+	// is removed: it was learned from an entry or the settings, and its host no longer exists.
+	unrecordedTTL = 2 * time.Minute
+	// aliasRetryInterval is the retry interval for an address of an entry that is connected at
+	// another address.
+	aliasRetryInterval = 2 * time.Second
+	// selectionDelay is how long changes of the known entries are collected before the
+	// selection is computed again: a read of the store delivers all records within it.
+	selectionDelay = 25 * time.Millisecond
+	// maxEntries bounds the number of known addresses.
+	maxEntries = 1024
 )
 
-// entryAddr is an address at which a dispatcher may be reached.
+// entryAddr is a known address of a dispatcher and the state of its connection.
 type entryAddr struct {
 	addr, dataCentre string
-	down             bool               // out of reach for downAfter
-	hangUp           context.CancelFunc // ends its goroutine; nil while it is not dialled
-	session          runs.ConnID        // 0: none
-	chosen           bool
+	down             bool               // unreachable for downAfter
+	cancel           context.CancelFunc // stops its goroutine; nil if it has none
+	connID           runs.ConnID        // of its open session; 0: none
+	selected         bool
 }
 
-// dialers chooses the dispatchers that the runner keeps sessions with, and keeps one
-// goroutine for each, which holds a session with it or tries to.
+// dialers selects the dispatchers with which the runner keeps sessions, and runs a goroutine
+// for each of them, which reconnects whenever the session ends. Its methods are safe for
+// concurrent use, except for those whose caller must hold the lock.
 type dialers struct {
 	runner *Runner
 	ctx    context.Context
 	stop   context.CancelFunc
 	done   sync.WaitGroup
 
-	mu      sync.Mutex
-	entries map[string]*entryAddr
-	byHost  map[string]string // address by the name of the host in its record
-	held    map[job.Incarnation]runs.ConnID
-	waiting bool // the next choice is on its way
+	mu               sync.Mutex
+	entries          map[string]*entryAddr
+	addrByHost       map[string]string // by the name of the host in the dispatcher's record
+	sessionByOwner   map[job.Incarnation]runs.ConnID
+	selectionPending bool // applySelection is scheduled
 }
 
-// aliasError is an address of an entry with which there is a session at another one.
+// aliasError reports that the dialled entry is already connected at another address.
 type aliasError struct{ owner job.Incarnation }
 
 // Error implements error.
-func (e *aliasError) Error() string { return "there is a session with entry " + e.owner.String() }
+func (e *aliasError) Error() string { return "already connected to entry " + e.owner.String() }
 
 func newDialers(r *Runner) *dialers {
 	ctx, stop := context.WithCancel(context.Background())
-	return &dialers{runner: r, ctx: ctx, stop: stop, entries: map[string]*entryAddr{}, byHost: map[string]string{},
-		held: map[job.Incarnation]runs.ConnID{}}
+	return &dialers{runner: r, ctx: ctx, stop: stop, entries: map[string]*entryAddr{}, addrByHost: map[string]string{},
+		sessionByOwner: map[job.Incarnation]runs.ConnID{}}
 }
 
-// hold notes the session with an entry's process. Two with the same one would replace each
-// other for ever, and each replacement ends the runs of the other.
-func (d *dialers) hold(owner job.Incarnation, id runs.ConnID) error {
+// registerSession registers a session with an entry's process. It returns an *aliasError if
+// there is one already: two sessions with the same process would replace each other
+// endlessly, and each replacement ends the runs of the replaced session.
+func (d *dialers) registerSession(owner job.Incarnation, id runs.ConnID) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, held := d.held[owner]; held {
+	if _, exists := d.sessionByOwner[owner]; exists {
 		return &aliasError{owner}
 	}
-	d.held[owner] = id
+	d.sessionByOwner[owner] = id
 	return nil
 }
 
-// opened notes a session that the control state knows.
-func (d *dialers) opened(addr, dataCentre string, id runs.ConnID) {
+// sessionOpened records the session of an address. Call it after adding the session to the
+// control state, and sessionEnded when it ends.
+func (d *dialers) sessionOpened(addr, dataCentre string, id runs.ConnID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.entries[addr]
 	if e == nil {
 		return
 	}
-	e.session = id
+	e.connID = id
 	if e.down {
 		e.down = false
-		d.chooseSoon()
+		d.scheduleSelection()
 	}
-	d.note(addr, dataCentre)
+	d.addEntry(addr, dataCentre)
 }
 
-// release notes that a session has ended.
-func (d *dialers) release(addr string, owner job.Incarnation, id runs.ConnID) {
+// sessionEnded removes a session that has ended.
+func (d *dialers) sessionEnded(addr string, owner job.Incarnation, id runs.ConnID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.held[owner] == id {
-		delete(d.held, owner)
+	if d.sessionByOwner[owner] == id {
+		delete(d.sessionByOwner, owner)
 	}
-	if e := d.entries[addr]; e != nil && e.session == id {
-		e.session = 0
+	if e := d.entries[addr]; e != nil && e.connID == id {
+		e.connID = 0
 	}
 }
 
-// learn notes addresses that an entry, a neighbour or the settings have named.
-func (d *dialers) learn(peers []wire.Peer) {
+// addPeers adds addresses that come from an entry or the settings.
+func (d *dialers) addPeers(peers []wire.Peer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range peers {
-		d.note(p.Addr, p.DataCentre)
+		d.addEntry(p.Addr, p.DataCentre)
 	}
 }
 
-// note adds an address, or the data centre of one that is known. The caller holds the lock.
-func (d *dialers) note(addr, dataCentre string) {
+// addEntry adds an address, or updates the data centre of a known one. Empty addresses, and
+// new ones beyond maxEntries, are ignored. The caller holds the lock.
+func (d *dialers) addEntry(addr, dataCentre string) {
 	e := d.entries[addr]
 	switch {
-	case addr == "" || e == nil && len(d.entries) >= maxKnown:
+	case addr == "" || e == nil && len(d.entries) >= maxEntries:
 		return
 	case e == nil:
 		event.Log(d.runner.log, event.PeerLearned, "entry", addr, "data_centre", dataCentre)
@@ -150,24 +153,27 @@
 		return
 	}
 	e.dataCentre = dataCentre
-	d.chooseSoon()
+	d.scheduleSelection()
 }
 
-// place notes where a host's dispatcher is reached. An address that the host had
-// before is given up: another host may get it. An empty address drops the host.
-func (d *dialers) place(host, addr, dataCentre string) {
+// updateRecord sets the address in the record of a host's dispatcher; an empty address means
+// that the record was deleted. The host's previous address is removed, because another host
+// may get it.
+func (d *dialers) updateRecord(host, addr, dataCentre string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	old := d.byHost[host]
-	d.byHost[host] = addr
-	if old != "" && old != addr && !d.recorded(old) {
-		d.drop(old)
+	previous := d.addrByHost[host]
+	d.addrByHost[host] = addr
+	if previous != "" && previous != addr && !d.hasRecord(previous) {
+		d.removeEntry(previous)
 	}
-	d.note(addr, dataCentre)
+	d.addEntry(addr, dataCentre)
 }
 
-func (d *dialers) recorded(addr string) bool {
-	for _, a := range d.byHost {
+// hasRecord reports whether the record of any host names the address. The caller holds the
+// lock.
+func (d *dialers) hasRecord(addr string) bool {
+	for _, a := range d.addrByHost {
 		if a == addr {
 			return true
 		}
@@ -175,62 +181,66 @@
 	return false
 }
 
-// drop forgets an address. The caller holds the lock.
-func (d *dialers) drop(addr string) {
+// removeEntry removes an address and stops its goroutine. The caller holds the lock.
+func (d *dialers) removeEntry(addr string) {
 	e := d.entries[addr]
 	if e == nil {
 		return
 	}
-	if e.hangUp != nil {
-		e.hangUp()
+	if e.cancel != nil {
+		e.cancel()
 	}
 	delete(d.entries, addr)
-	d.chooseSoon()
+	d.scheduleSelection()
 }
 
-// chooseSoon makes the choice anew after gatherFor. The caller holds the lock.
-func (d *dialers) chooseSoon() {
-	if d.waiting {
+// scheduleSelection schedules applySelection after selectionDelay, unless it is scheduled
+// already. The caller holds the lock.
+func (d *dialers) scheduleSelection() {
+	if d.selectionPending {
 		return
 	}
-	d.waiting = true
+	d.selectionPending = true
 	d.done.Go(func() {
-		clock.Sleep(d.ctx, gatherFor)
-		d.choose()
+		clock.Sleep(d.ctx, selectionDelay)
+		d.applySelection()
 	})
 }
 
-// choose dials the entries that are to be kept sessions with, and retires the others.
-func (d *dialers) choose() {
+// applySelection computes the selection again, dials the selected entries that are not dialled
+// yet, and retires the sessions with entries that are reachable but no longer selected.
+func (d *dialers) applySelection() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.waiting = false
+	d.selectionPending = false
 	if d.ctx.Err() != nil {
 		return
 	}
 	for _, e := range d.entries {
-		e.chosen = false
+		e.selected = false
 	}
-	for _, addr := range d.chosenAddrs() {
-		d.entries[addr].chosen = true
+	for _, addr := range d.selectedAddrs() {
+		d.entries[addr].selected = true
 	}
 	for _, e := range d.entries {
 		switch {
-		case e.chosen && e.hangUp == nil:
+		case e.selected && e.cancel == nil:
 			d.dial(e)
-		case !e.chosen && e.hangUp != nil && !e.down:
-			d.retire(e)
+		case !e.selected && e.cancel != nil && !e.down:
+			d.retireSession(e)
 		}
 	}
 }
 
-// chosenAddrs returns the entries to keep sessions with. The caller holds the lock.
-func (d *dialers) chosenAddrs() []string {
-	return subset.Choose(d.runner.o.Host, d.runner.o.DataCentre, d.candidates(), entrySessions)
+// selectedAddrs returns the addresses of the entries with which to keep sessions. The caller
+// holds the lock.
+func (d *dialers) selectedAddrs() []string {
+	return subset.Choose(d.runner.opts.Host, d.runner.opts.DataCentre, d.candidates(), maxEntrySessions)
 }
 
-// candidates lists the entries. Where too few are within reach, those that are not count as
-// if they were: all of them come back together after a loss of power.
+// candidates returns the known entries. If fewer than maxEntrySessions are reachable, the
+// unreachable ones count as reachable too: after a power failure all entries return together.
+// The caller holds the lock.
 func (d *dialers) candidates() []subset.Candidate {
 	candidates := make([]subset.Candidate, 0, len(d.entries))
 	up := 0
@@ -240,77 +250,79 @@
 		}
 	}
 	for _, e := range d.entries {
-		candidates = append(candidates, subset.Candidate{Addr: e.addr, DataCentre: e.dataCentre, Down: e.down && up >= entrySessions})
+		candidates = append(candidates, subset.Candidate{Addr: e.addr, DataCentre: e.dataCentre, Down: e.down && up >= maxEntrySessions})
 	}
 	return candidates
 }
 
-// dial starts the goroutine of an entry. The caller holds the lock.
+// dial starts the goroutine that connects to an entry. The caller holds the lock.
 func (d *dialers) dial(e *entryAddr) {
 	ctx, cancel := context.WithCancel(d.ctx)
-	e.hangUp = cancel
+	e.cancel = cancel
 	event.Log(d.runner.log, event.EntryChosen, "entry", e.addr, "data_centre", e.dataCentre, "known", len(d.entries))
-	d.done.Go(func() { d.keep(ctx, e) })
+	d.done.Go(func() { d.maintainSession(ctx, e) })
 }
 
-// retire lets the session with an entry run out: work that the entry has there is finished.
-// The caller holds the lock.
-func (d *dialers) retire(e *entryAddr) {
-	id := e.session
+// retireSession closes the session with an entry after the work that the entry has on the
+// target is finished. Without a session, it stops dialling. The caller holds the lock.
+func (d *dialers) retireSession(e *entryAddr) {
+	id := e.connID
 	if id == 0 {
-		e.hangUp()
-		e.hangUp = nil
+		e.cancel()
+		e.cancel = nil
 		return
 	}
 	event.Log(d.runner.log, event.SessionRetired, "entry", e.addr, "conn", uint64(id), "reason", "another entry ranks higher")
-	go d.runner.do(func(now time.Time, s *state) { s.table.Retire(now, id) })
+	go d.runner.enqueue(func(now time.Time, s *state) { s.table.Retire(now, id) })
 }
 
-// keep holds a session with the entry until it is given up.
-func (d *dialers) keep(ctx context.Context, e *entryAddr) {
+// maintainSession keeps a session with an entry and reconnects after failures, until the entry
+// is deselected or removed or the context ends.
+func (d *dialers) maintainSession(ctx context.Context, e *entryAddr) {
 	retry := backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(firstRetry), backoff.WithMaxInterval(lastRetry), backoff.WithMaxElapsedTime(0),
+		backoff.WithInitialInterval(initialRetryInterval), backoff.WithMaxInterval(maxRetryInterval), backoff.WithMaxElapsedTime(0),
 	)
-	reached := time.Now()
+	lastReached := time.Now()
 	for ctx.Err() == nil {
-		began := time.Now()
-		err := d.runner.connect(ctx, e.addr)
-		if time.Since(began) > steadyAfter {
+		startedAt := time.Now()
+		err := d.runner.runSession(ctx, e.addr)
+		if time.Since(startedAt) > stableAfter {
 			retry.Reset()
-			reached = time.Now()
+			lastReached = time.Now()
 		}
 		var alias *aliasError
-		switch wait := retry.NextBackOff(); {
-		case d.released(e):
+		switch delay := retry.NextBackOff(); {
+		case d.stopIfDeselected(e):
 			return
-		case time.Since(reached) > strangeAfter && d.forget(e.addr):
+		case time.Since(lastReached) > unrecordedTTL && d.removeUnrecorded(e.addr):
 			event.Log(d.runner.log, event.SessionRetired, "entry", e.addr, "error", err.Error())
 			return
 		case errors.As(err, &alias):
-			clock.Sleep(ctx, aliasRetry)
-		case time.Since(reached) > downAfter:
-			d.lost(e)
-			clock.Sleep(ctx, downRetry)
+			clock.Sleep(ctx, aliasRetryInterval)
+		case time.Since(lastReached) > downAfter:
+			d.markDown(e)
+			clock.Sleep(ctx, downRetryInterval)
 		default:
-			clock.Sleep(ctx, wait)
+			clock.Sleep(ctx, delay)
 		}
 	}
 }
 
-// released reports whether an entry that is within reach is no longer to be dialled.
-func (d *dialers) released(e *entryAddr) bool {
+// stopIfDeselected stops dialling an entry that is no longer selected, and reports whether it
+// did. Entries that are down are still dialled, to detect their return.
+func (d *dialers) stopIfDeselected(e *entryAddr) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e.chosen || e.down || e.hangUp == nil {
+	if e.selected || e.down || e.cancel == nil {
 		return false
 	}
-	e.hangUp()
-	e.hangUp = nil
+	e.cancel()
+	e.cancel = nil
 	return true
 }
 
-// lost notes that an entry has been out of reach for long.
-func (d *dialers) lost(e *entryAddr) {
+// markDown marks an entry as down and schedules the selection of a replacement.
+func (d *dialers) markDown(e *entryAddr) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e.down {
@@ -318,22 +330,22 @@
 	}
 	e.down = true
 	event.Log(d.runner.log, event.EntryLost, "entry", e.addr, "after_ms", downAfter.Milliseconds())
-	d.chooseSoon()
+	d.scheduleSelection()
 }
 
-// forget drops an address that no record names.
-func (d *dialers) forget(addr string) bool {
+// removeUnrecorded removes an address unless a record names it, and reports whether it did.
+func (d *dialers) removeUnrecorded(addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.recorded(addr) {
+	if d.hasRecord(addr) {
 		return false
 	}
-	d.drop(addr)
+	d.removeEntry(addr)
 	return true
 }
 
-// known returns the addresses that were learned.
-func (d *dialers) known() []wire.Peer {
+// knownPeers returns all known addresses, to be passed on to entries.
+func (d *dialers) knownPeers() []wire.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	peers := make([]wire.Peer, 0, len(d.entries))
@@ -343,7 +355,8 @@
 	return peers
 }
 
-func (d *dialers) end() {
+// shutdown ends all sessions and waits for the goroutines.
+func (d *dialers) shutdown() {
 	d.mu.Lock()
 	d.stop()
 	d.mu.Unlock()
--- a/internal/runner/entrysession.go
+++ b/internal/runner/entrysession.go
@@ -16,86 +16,91 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// welcomeError is a connection that a dispatcher does not open as it must.
-type welcomeError struct{ what string }
+// handshakeError reports a first frame of a dispatcher that breaks the protocol.
+type handshakeError struct{ reason string }
 
 // Error implements error.
-func (e *welcomeError) Error() string { return "welcome: " + e.what }
+func (e *handshakeError) Error() string { return "handshake: " + e.reason }
 
-// entrySession is one connection to a dispatcher.
+// entrySession is a connection to a dispatcher.
 type entrySession struct {
 	*Runner
 	id     runs.ConnID
 	addr   string
 	conn   *session.ToEntryConn
-	owner  job.Incarnation
-	opened bool
+	owner  job.Incarnation // the dispatcher's process; set once opened
+	opened bool            // the welcome was received
 }
 
-// connect holds a session with the dispatcher at addr until it ends.
-func (r *Runner) connect(ctx context.Context, addr string) error {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+// runSession connects to the dispatcher at addr, serves the session until it ends, and
+// returns why.
+func (r *Runner) runSession(ctx context.Context, addr string) error {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := session.Dial(dialing, addr, leased.SessionOptions(r.metrics.Sessions))
+	conn, err := session.Dial(dialCtx, addr, leased.SessionOptions(r.metrics.Sessions))
 	if err != nil {
 		return err
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close(nil) })
 	defer stop()
-	s := &entrySession{Runner: r, id: runs.ConnID(r.last.Add(1)), addr: addr, conn: conn}
+	s := &entrySession{Runner: r, id: runs.ConnID(r.lastConnID.Add(1)), addr: addr, conn: conn}
 	err = conn.Serve(s.receive)
-	s.ended(err)
+	s.handleEnd(err)
 	return err
 }
 
+// receive handles a frame of the dispatcher. An error closes the connection.
 func (s *entrySession) receive(f *wire.ToAgent) error {
 	if !s.opened {
-		return s.welcome(f.Welcome)
+		return s.handleWelcome(f.Welcome)
 	}
-	s.dialers.learn(f.Entries)
+	s.dialers.addPeers(f.Entries)
 	if f.IsHeartbeat() || f.Leased == nil {
 		return nil
 	}
-	s.do(func(now time.Time, st *state) {
+	s.enqueue(func(now time.Time, st *state) {
 		if st.sessions[s.id] == nil {
-			return // ended while the frame waited
+			return // ended while the command was queued
 		}
 		st.evacuations.MergeFromPeer(now, evacuation.PeerID(s.id), f.Leased.Evacuations)
 		st.table.Receive(now, s.id, f.Leased)
-		if err := st.conf.HandleNote(now, confsync.PeerID(s.id), f.Leased.Config); err != nil {
+		if err := st.config.HandleNote(now, confsync.PeerID(s.id), f.Leased.Config); err != nil {
 			event.Log(s.log, event.ConfigBad, "conn", uint64(s.id), "error", err.Error())
 		}
 	})
 	return nil
 }
 
-func (s *entrySession) welcome(w *wire.Welcome) error {
+// handleWelcome handles the first frame: it answers with a hello and adds the session to the
+// control state.
+func (s *entrySession) handleWelcome(w *wire.Welcome) error {
 	switch {
 	case w == nil:
-		return &welcomeError{"the first frame carries none"}
+		return &handshakeError{"the first frame has no welcome"}
 	case w.Version != wire.Version:
-		return &welcomeError{"another version of the protocol"}
+		return &handshakeError{"the dispatcher has another protocol version"}
 	}
-	s.dialers.learn(w.Entries)
-	if err := s.dialers.hold(w.Incarnation, s.id); err != nil {
+	s.dialers.addPeers(w.Entries)
+	if err := s.dialers.registerSession(w.Incarnation, s.id); err != nil {
 		return err
 	}
 	s.opened, s.owner = true, w.Incarnation
 	s.conn.Send(&wire.ToEntry{Hello: &wire.Hello{
-		Version: wire.Version, Incarnation: s.incarnation, Worker: s.o.Host, DataCentre: s.o.DataCentre, Entries: s.dialers.known(),
+		Version: wire.Version, Incarnation: s.incarnation, Worker: s.opts.Host, DataCentre: s.opts.DataCentre, Entries: s.dialers.knownPeers(),
 	}})
 	event.Log(s.log, event.SessionOpened, "conn", uint64(s.id), "entry", s.addr, "owner", w.Incarnation.String())
-	s.do(func(now time.Time, st *state) {
+	s.enqueue(func(now time.Time, st *state) {
 		st.sessions[s.id] = s
 		st.table.Connect(now, s.id)
 		st.evacuations.PeerUp(evacuation.PeerID(s.id))
-		st.conf.PeerUp(confsync.PeerID(s.id))
+		st.config.PeerUp(confsync.PeerID(s.id))
 	})
-	s.dialers.opened(s.addr, w.DataCentre, s.id)
+	s.dialers.sessionOpened(s.addr, w.DataCentre, s.id)
 	return nil
 }
 
-func (s *entrySession) ended(err error) {
+// handleEnd logs the end of the connection and removes the session.
+func (s *entrySession) handleEnd(err error) {
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
 		id := event.SessionClosed
@@ -107,11 +112,11 @@
 	if !s.opened {
 		return
 	}
-	s.dialers.release(s.addr, s.owner, s.id)
-	s.do(func(now time.Time, st *state) {
+	s.dialers.sessionEnded(s.addr, s.owner, s.id)
+	s.enqueue(func(now time.Time, st *state) {
 		delete(st.sessions, s.id)
 		st.table.Disconnect(now, s.id)
 		st.evacuations.PeerDown(evacuation.PeerID(s.id))
-		st.conf.PeerDown(confsync.PeerID(s.id))
+		st.config.PeerDown(confsync.PeerID(s.id))
 	})
 }
--- a/internal/runner/memory.go
+++ b/internal/runner/memory.go
@@ -13,62 +13,63 @@
 	"github.com/camphorrack/camphorrack/internal/runs"
 )
 
-// What a target said of itself is kept on the platform's store. A runner that starts
-// again would otherwise wait for the next announcement, a second and a half, before
-// its target may work; after a loss of all hosts' power that is as long as the outage
-// itself. The record is only a hint: nothing is started before the target has answered
-// under the name and the start time that the record has.
+// The target's last announcement is stored in the platform's store. Otherwise a runner that
+// restarts would wait for the next announcement, a second and a half, before its target gets
+// work; after a power failure of all hosts that is as long as the outage itself. The record
+// is only a hint: nothing is started before the target has answered with the name and the
+// start time of the record.
 
-// memoryTopics is the number of topics that the records are spread over, by host: a
-// runner reads a whole topic at its start, 360 records of 300 bytes at 5,700 hosts.
-const memoryTopics = 16
+// recordTopics is the number of topics over which the records are distributed by host: a
+// runner reads a whole topic when it starts, 360 records of 300 bytes with 5,700 hosts.
+const recordTopics = 16
 
-// memory is the record of one host's target.
+// memory is the stored record of a host's target.
 type memory struct {
 	Name     string     `json:"name"`
-	BornMs   int64      `json:"born_ms"`
+	BornMs   int64      `json:"born_ms"` // start time, in Unix milliseconds
 	Service  string     `json:"service"`
 	Labels   []string   `json:"labels,omitempty"`
 	Capacity job.Demand `json:"capacity"`
 	Leaving  bool       `json:"leaving,omitempty"`
-	// DataCentre is where the target says it is.
+	// DataCentre is the data centre that the target announced.
 	DataCentre string `json:"data_centre,omitempty"`
 }
 
-// memoryTopic returns the topic with a host's record.
-func memoryTopic(host string) string {
+// recordTopic returns the topic of a host's record.
+func recordTopic(host string) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(host)) // never fails
-	return "camphorrack-targets-" + strconv.Itoa(int(h.Sum32()%memoryTopics))
+	return "camphorrack-targets-" + strconv.Itoa(int(h.Sum32()%recordTopics))
 }
 
-// remember writes the record of a target whose life or readiness has changed.
-func (r *Runner) remember(a runs.Announcement) {
+// storeTarget writes the target's record in the background, after its incarnation, capacity
+// or readiness has changed. It cancels the writing of an older record.
+func (r *Runner) storeTarget(a runs.Announcement) {
 	m := memory{a.Incarnation.Name, a.Incarnation.StartedMs, a.Service, a.Labels, a.Capacity, a.Leaving, a.DataCentre}
-	if r.forgetOlder != nil {
-		r.forgetOlder()
+	if r.cancelOlderWrite != nil {
+		r.cancelOlderWrite()
 	}
 	value, err := json.Marshal(m)
 	if err != nil {
-		event.Log(r.log, event.BadFrame, "topic", memoryTopic(r.o.Host), "error", err.Error())
+		event.Log(r.log, event.BadFrame, "topic", recordTopic(r.opts.Host), "error", err.Error())
 		return
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	r.forgetOlder = cancel
-	go platformlog.Keep(ctx, r.log, r.o.Store, memoryTopic(r.o.Host), r.o.Host, value)
+	r.cancelOlderWrite = cancel
+	go platformlog.Keep(ctx, r.log, r.opts.Store, recordTopic(r.opts.Host), r.opts.Host, value)
 }
 
-// recall reads the record of the target, once. Where the store does not answer, the
-// target's next announcement serves.
-func (r *Runner) recall(ctx context.Context) {
-	topic := memoryTopic(r.o.Host)
-	entries, _, err := r.o.Store.Newest(ctx, topic)
+// restoreTarget reads the target's record and restores it into the control state. If the
+// store does not answer, it is not retried: the target's next announcement replaces it.
+func (r *Runner) restoreTarget(ctx context.Context) {
+	topic := recordTopic(r.opts.Host)
+	entries, _, err := r.opts.Store.Newest(ctx, topic)
 	if err != nil {
 		event.Log(r.log, event.LogUnreachable, "topic", topic, "error", err.Error())
 		return
 	}
 	for _, e := range entries {
-		if e.Key != r.o.Host || len(e.Value) == 0 {
+		if e.Key != r.opts.Host || len(e.Value) == 0 {
 			continue
 		}
 		var m memory
@@ -79,7 +80,7 @@
 		a := runs.Announcement{
 			Incarnation: runs.Incarnation{Name: m.Name, StartedMs: m.BornMs}, Service: m.Service, Labels: m.Labels, Capacity: m.Capacity, Leaving: m.Leaving, DataCentre: m.DataCentre,
 		}
-		r.do(func(now time.Time, s *state) { s.table.Restore(now, a) })
-		r.renewNow()
+		r.enqueue(func(now time.Time, s *state) { s.table.Restore(now, a) })
+		r.requestRenewal()
 	}
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner is the daemon beside a leased target. It hears what the target says
-// of itself, keeps sessions with some dispatchers, runs their orders on the target
-// and renews the lease under which they run. The control state (internal/runs)
+// Package runner implements the daemon on the host of a leased target. It receives the
+// target's announcements, keeps sessions with some dispatchers, executes their orders on
+// the target and renews the lease under which these run. The control state (internal/runs)
 // belongs to one goroutine; calls to the target are made on goroutines of their own.
 package runner
 
@@ -28,25 +28,26 @@
 // Program is the daemon's name.
 const Program = "camphorrack-runner"
 
-// Target is the target beside the process. Its methods block until there is an
-// answer or the call's time is over.
+// Target calls the target on this host. Its methods block until the target answers or the
+// call times out.
 type Target interface {
-	// Start returns the target's clock too, 0 where it said nothing.
+	// Start also returns the target's clock in milliseconds, or 0 if the answer has none.
 	Start(runs.StartCall) (answer runs.Answer, clockMs int64)
 	Stop(runs.StopCall) runs.Answer
-	// Renew returns an error for which Why tells the reason.
+	// Renew renews the lease and returns the target's runs. Options.ClassifyRenewError maps
+	// its error to a reason.
 	Renew(runs.RenewCall) (runs.Listing, error)
 }
 
-// Options are the daemon's settings and what it is wired to.
+// Options are the settings and dependencies of the daemon.
 type Options struct {
 	Host, DataCentre string
-	TargetsAddr      string // where the target announces itself
+	TargetsAddr      string // address for the target's announcements
 	MetricsAddr      string
-	Neighbours       []string // inner addresses of hosts that may run a dispatcher
-	Grace            time.Duration
-	LeaseLimit       time.Duration
-	MemoryMB         int
+	Neighbours       []string      // session addresses of hosts that may run a dispatcher
+	Grace            time.Duration // time to finish running tasks on shutdown
+	LeaseLimit       time.Duration // longest lease
+	MemoryMB         int           // the host's memory limit for the process
 
 	Store              platformlog.Keyed
 	Target             Target
@@ -55,67 +56,69 @@
 }
 
 const (
-	// tickEvery is how often waits and retries are looked at; it also bounds how late
-	// a report of the load may go out.
-	tickEvery = 15 * time.Millisecond
-	// idleTick is the same while nothing is under way.
-	idleTick    = 100 * time.Millisecond
-	maxCommands = 2048
-	maxBatch    = 256
-	// noTargetPause is the pause between looks while no target has announced itself.
-	noTargetPause = 20 * time.Millisecond
-	// failedPause is the pause after a renewal that failed, failedAgainPause after
-	// another one: the answer alone may have been lost, and a lease lasts a second; a
-	// target that is away must not be called all the time.
-	failedPause      = 2 * time.Millisecond
-	failedAgainPause = 50 * time.Millisecond
-	// exitTail is the part of the grace that is kept for the end of the process.
-	exitTail      = 400 * time.Millisecond
-	headerTimeout = 3 * time.Second
-	closeTimeout  = 100 * time.Millisecond
+	// busyTickInterval is the interval of checks for timeouts and retries; it also bounds the
+	// delay of a load report.
+	busyTickInterval = 15 * time.Millisecond
+	// idleTickInterval applies while there are no orders and no pending load report.
+	idleTickInterval = 100 * time.Millisecond
+	maxCommands      = 2048 // queued for the control goroutine
+	maxBatch         = 256  // commands between two flushes
+	// noTargetPollInterval is the interval of checks for a target while none is known.
+	noTargetPollInterval = 20 * time.Millisecond
+	// renewRetryDelay is the delay after the first failed renewal: possibly only the answer
+	// was lost, and a lease lasts a second. repeatedRenewRetryDelay is the delay after each
+	// further failure: an absent target must not be called continuously.
+	renewRetryDelay         = 2 * time.Millisecond
+	repeatedRenewRetryDelay = 50 * time.Millisecond
+	// shutdownReserve is the part of Options.Grace that is reserved for closing sessions and
+	// servers.
+	shutdownReserve = 400 * time.Millisecond
+	headerTimeout   = 3 * time.Second // for the header of a request
+	// finalFlushDelay is the time for sending the last outcomes before sessions are closed.
+	finalFlushDelay = 100 * time.Millisecond
 )
 
-// state is what the control goroutine owns.
+// state is the control state; only the control goroutine accesses it.
 type state struct {
 	table       *runs.Table
-	conf        *confsync.Replica
+	config      *confsync.Replica
 	evacuations *evacuation.Replica
 	sessions    map[runs.ConnID]*entrySession
 }
 
 // Runner is the daemon.
 type Runner struct {
-	o           Options
-	log         logr.Logger
-	clock       clock.Clock
-	stall       *clock.StallDetector
-	incarnation job.Incarnation
-	loop        *control.Loop[*state]
-	metrics     *counters
-	dialers     *dialers
-	last        atomic.Uint64
-	servers     leased.Servers
-	ctx         context.Context // of what ends with the daemon
-	stop        context.CancelFunc
-	kick        chan struct{} // a renewal is wanted now
-	// forgetOlder ends the writing of an older record. It belongs to the control
-	// goroutine.
-	forgetOlder context.CancelFunc
+	opts           Options
+	log            logr.Logger
+	clock          clock.Clock
+	stall          *clock.StallDetector
+	incarnation    job.Incarnation
+	loop           *control.Loop[*state]
+	metrics        *counters
+	dialers        *dialers
+	lastConnID     atomic.Uint64
+	servers        leased.Servers
+	ctx            context.Context // cancelled when the daemon stops
+	stop           context.CancelFunc
+	renewRequested chan struct{} // interrupts the delay before the next renewal
+	// cancelOlderWrite cancels the writing of an older record of the target. Only the control
+	// goroutine accesses it.
+	cancelOlderWrite context.CancelFunc
 }
 
 // New returns a daemon that is bound to its addresses but does not serve yet.
 func New(o Options, log logr.Logger) (*Runner, error) {
 	leased.LimitMemory(o.MemoryMB)
 	r := &Runner{
-		o: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold),
-		incarnation: job.NewIncarnation(), kick: make(chan struct{}, 1),
+		opts: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold),
+		incarnation: job.NewIncarnation(), renewRequested: make(chan struct{}, 1),
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	r.metrics = newCounters(func() int { return r.loop.QueuedCommands() })
 	r.dialers = newDialers(r)
 	r.loop = control.New(control.Options[*state]{
 		State: r.newState(), Clock: r.clock, MaxCommands: maxCommands, MaxBatch: maxBatch,
-		Tick: r.tick, TickInterval: pace, Flush: func(s *state) { s.table.Flush(r.clock.Now()) },
+		Tick: r.tick, TickInterval: tickInterval, Flush: func(s *state) { s.table.Flush(r.clock.Now()) },
 		OnTurn: r.metrics.TurnObserver(log),
 	})
 	if err := r.listen(); err != nil {
@@ -125,36 +128,38 @@
 	return r, nil
 }
 
+// newState returns the control state. Configurations are only replicated, not used.
 func (r *Runner) newState() *state {
 	s := &state{sessions: map[runs.ConnID]*entrySession{}}
-	s.table = runs.New(runs.Options{Log: r.log, Target: (*calls)(r), Outbox: s, DataCentre: r.o.DataCentre, LeaseLimit: r.o.LeaseLimit})
-	s.conf = &confsync.Replica{Apply: func(_ time.Time, version uint64, _ []byte) error {
+	s.table = runs.New(runs.Options{Log: r.log, Target: (*targetCalls)(r), Outbox: s, DataCentre: r.opts.DataCentre, LeaseLimit: r.opts.LeaseLimit})
+	s.config = &confsync.Replica{Apply: func(_ time.Time, version uint64, _ []byte) error {
 		event.Log(r.log, event.ConfigApplied, "version", version, "kept_for", "entries")
 		return nil
 	}}
-	s.conf.Send = func(id confsync.PeerID, note wire.ConfigNote) { s.table.QueueConfigNote(runs.ConnID(id), note) }
+	s.config.Send = func(id confsync.PeerID, note wire.ConfigNote) { s.table.QueueConfigNote(runs.ConnID(id), note) }
 	s.evacuations = leased.NewEvacuationReplica(r.log, func(id evacuation.PeerID, list []evacuation.Record) {
 		s.table.QueueEvacuations(runs.ConnID(id), list)
 	}, s.table.Evacuate)
 	return s
 }
 
-func pace(s *state) time.Duration {
+// tickInterval returns the time until the next tick.
+func tickInterval(s *state) time.Duration {
 	if s.table.Runs() > 0 || s.table.LoadReportPending() {
-		return tickEvery
+		return busyTickInterval
 	}
-	return idleTick
+	return idleTickInterval
 }
 
 func (r *Runner) tick(now time.Time, s *state) {
-	r.awake(now, s)
+	r.disconnectAfterStall(now, s)
 	s.table.Tick(now)
-	s.conf.Tick(now)
+	s.config.Tick(now)
 }
 
-// awake ends every session where the process stood still: the other sides have given
-// them up, and what they sent before must not be started now.
-func (r *Runner) awake(now time.Time, s *state) {
+// disconnectAfterStall ends all sessions if the process was suspended: the entries have closed
+// them meanwhile, and orders that they sent before must not start now.
+func (r *Runner) disconnectAfterStall(now time.Time, s *state) {
 	gap := r.stall.Check()
 	if gap == 0 {
 		return
@@ -163,11 +168,11 @@
 	s.table.DisconnectAll(now)
 }
 
-// do hands a command to the control goroutine.
-func (r *Runner) do(command control.Command[*state]) {
-	// The error means that the process ends.
+// enqueue queues a command for the control goroutine, and blocks while the queue is full.
+func (r *Runner) enqueue(command control.Command[*state]) {
+	// An error means that the loop has stopped; then the command is dropped.
 	_ = r.loop.Push(func(now time.Time, s *state) {
-		r.awake(now, s)
+		r.disconnectAfterStall(now, s)
 		command(now, s)
 	})
 }
@@ -190,40 +195,43 @@
 	return r.loop.Do(leased.MetricsTimeout, func(_ time.Time, s *state) { r.metrics.update(s.table) })
 }
 
+// listen binds the addresses for announcements and metrics.
 func (r *Runner) listen() error {
 	page := gin.New()
 	page.GET(leased.MetricsPath, leased.Metrics(r.log, r.metrics.Registry, r.refreshMetrics))
 	_, err := r.servers.Listen(r.log, leased.ConnLimits{HeaderTimeout: headerTimeout}, nil,
-		leased.Endpoint{Purpose: "the target", Addr: r.o.TargetsAddr, Handler: r.o.NewTargetHandler(r)},
-		leased.Endpoint{Purpose: "metrics", Addr: r.o.MetricsAddr, Handler: page},
+		leased.Endpoint{Purpose: "the target", Addr: r.opts.TargetsAddr, Handler: r.opts.NewTargetHandler(r)},
+		leased.Endpoint{Purpose: "metrics", Addr: r.opts.MetricsAddr, Handler: page},
 	)
 	return err
 }
 
-// Start serves and dials until Stop.
+// Start starts the goroutines of the daemon, which run until Stop.
 func (r *Runner) Start() {
 	go r.loop.Run()
 	r.servers.Serve()
-	r.AddEntryAddrs(r.o.Neighbours)
-	go r.recall(r.ctx)
-	go platformlog.Watch(r.ctx, r.log, r.o.Store, leased.EntriesTopic, platformlog.ReadEach(r.hearRecord))
-	go r.renew(r.ctx)
-	event.Log(r.log, event.ProcessStarted, "host", r.o.Host, "data_centre", r.o.DataCentre,
-		"incarnation", r.incarnation.String(), "memory_mb", r.o.MemoryMB)
+	r.AddEntryAddrs(r.opts.Neighbours)
+	go r.restoreTarget(r.ctx)
+	go platformlog.Watch(r.ctx, r.log, r.opts.Store, leased.EntriesTopic, platformlog.ReadEach(r.handleEntryRecord))
+	go r.renewLoop(r.ctx)
+	event.Log(r.log, event.ProcessStarted, "host", r.opts.Host, "data_centre", r.opts.DataCentre,
+		"incarnation", r.incarnation.String(), "memory_mb", r.opts.MemoryMB)
 }
 
-// AddEntryAddrs notes addresses at which dispatchers may be reached.
+// AddEntryAddrs adds addresses that may be those of dispatchers. Each is dialled if it is
+// selected, and removed if it stays unreachable and no record names it.
 func (r *Runner) AddEntryAddrs(addrs []string) {
 	peers := make([]wire.Peer, len(addrs))
 	for i, addr := range addrs {
 		peers[i].Addr = addr
 	}
-	r.dialers.learn(peers)
+	r.dialers.addPeers(peers)
 }
 
-func (r *Runner) hearRecord(e platformlog.Entry) {
+// handleEntryRecord handles a new, changed or deleted record of a dispatcher.
+func (r *Runner) handleEntryRecord(e platformlog.Entry) {
 	if len(e.Value) == 0 {
-		r.dialers.place(e.Key, "", "")
+		r.dialers.updateRecord(e.Key, "", "")
 		return
 	}
 	record, err := leased.ParseRecord(e.Value)
@@ -231,42 +239,42 @@
 		event.Log(r.log, event.BadFrame, "topic", leased.EntriesTopic, "key", e.Key, "error", err.Error())
 		return
 	}
-	r.dialers.place(e.Key, record.Addr, record.DataCentre)
+	r.dialers.updateRecord(e.Key, record.Addr, record.DataCentre)
 }
 
-// Announce takes what the target says of itself.
+// Announce handles an announcement of the target and stores it if it is worth storing.
 func (r *Runner) Announce(a runs.Announcement) {
-	r.do(func(now time.Time, s *state) {
+	r.enqueue(func(now time.Time, s *state) {
 		if s.table.Announce(now, a) {
-			r.remember(a)
+			r.storeTarget(a)
 		}
 	})
-	r.renewNow()
+	r.requestRenewal()
 }
 
-// Deregister takes the target's word that it ends.
+// Deregister handles the target's notice that it is shutting down.
 func (r *Runner) Deregister(name string) {
-	r.do(func(now time.Time, s *state) { s.table.Deregister(now, name) })
+	r.enqueue(func(now time.Time, s *state) { s.table.Deregister(now, name) })
 }
 
-// Stop drains and ends the daemon: nothing new begins, and what runs may end within
-// the grace.
+// Stop drains and stops the daemon: no task starts any more, and running tasks may finish
+// within Options.Grace.
 func (r *Runner) Stop(ctx context.Context) error {
-	began := time.Now()
-	event.Log(r.log, event.DrainStarted, "grace_ms", r.o.Grace.Milliseconds())
-	r.do(func(now time.Time, s *state) { s.table.Drain(now) })
+	startedAt := time.Now()
+	event.Log(r.log, event.DrainStarted, "grace_ms", r.opts.Grace.Milliseconds())
+	r.enqueue(func(now time.Time, s *state) { s.table.Drain(now) })
 	left := 1
-	for until := began.Add(r.o.Grace - exitTail); left > 0 && time.Now().Before(until) && ctx.Err() == nil; {
+	for until := startedAt.Add(r.opts.Grace - shutdownReserve); left > 0 && time.Now().Before(until) && ctx.Err() == nil; {
 		if err := r.loop.Do(time.Second, func(_ time.Time, s *state) { left = s.table.Runs() }); err != nil {
 			break
 		}
-		time.Sleep(tickEvery)
+		time.Sleep(busyTickInterval)
 	}
-	time.Sleep(closeTimeout) // for the last outcomes to go out
+	time.Sleep(finalFlushDelay)
 	r.stop()
-	r.dialers.end()
+	r.dialers.shutdown()
 	r.servers.Close()
 	r.loop.Stop()
-	event.Log(r.log, event.ProcessStopped, "clean", left == 0, "left", left, "after_ms", time.Since(began).Milliseconds())
+	event.Log(r.log, event.ProcessStopped, "clean", left == 0, "left", left, "after_ms", time.Since(startedAt).Milliseconds())
 	return nil
 }
--- a/internal/runner/target.go
+++ b/internal/runner/target.go
@@ -7,73 +7,75 @@
 	"github.com/camphorrack/camphorrack/internal/runs"
 )
 
-func (r *Runner) renewNow() {
+// requestRenewal makes renewLoop renew the lease without delay.
+func (r *Runner) requestRenewal() {
 	select {
-	case r.kick <- struct{}{}:
+	case r.renewRequested <- struct{}{}:
 	default:
 	}
 }
 
-// renew keeps the lease and reads the target's lists, one call after the other: two
-// at a time could overtake each other.
-func (r *Runner) renew(ctx context.Context) {
-	pause := failedPause
+// renewLoop renews the lease and reads the target's list of runs until the context ends. It
+// makes one call at a time: the answers of concurrent calls could arrive in the wrong order.
+func (r *Runner) renewLoop(ctx context.Context) {
+	retryDelay := renewRetryDelay
 	for ctx.Err() == nil {
 		var call runs.RenewCall
 		var known bool
 		err := r.loop.Do(time.Hour, func(now time.Time, s *state) {
-			r.awake(now, s)
+			r.disconnectAfterStall(now, s)
 			call, known = s.table.NextRenewal(now)
 		})
 		if err != nil {
 			return
 		}
 		if !known {
-			r.pause(ctx, noTargetPause)
+			r.waitForRenewal(ctx, noTargetPollInterval)
 			continue
 		}
-		asked := r.clock.Now()
-		listing, err := r.o.Target.Renew(call)
+		sentAt := r.clock.Now()
+		listing, err := r.opts.Target.Renew(call)
 		if err != nil {
-			r.do(func(now time.Time, s *state) { s.table.RenewFailed(now, call, r.o.ClassifyRenewError(err)) })
-			r.pause(ctx, pause)
-			pause = failedAgainPause
+			r.enqueue(func(now time.Time, s *state) { s.table.RenewFailed(now, call, r.opts.ClassifyRenewError(err)) })
+			r.waitForRenewal(ctx, retryDelay)
+			retryDelay = repeatedRenewRetryDelay
 			continue
 		}
-		pause = failedPause
-		r.do(func(now time.Time, s *state) { s.table.Renewed(now, asked, call, listing) })
+		retryDelay = renewRetryDelay
+		r.enqueue(func(now time.Time, s *state) { s.table.Renewed(now, sentAt, call, listing) })
 	}
 }
 
-func (r *Runner) pause(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait)
+// waitForRenewal waits for a delay, or until a renewal is requested or the context ends.
+func (r *Runner) waitForRenewal(ctx context.Context, delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-r.kick:
+	case <-r.renewRequested:
 	case <-ctx.Done():
 	}
 }
 
-// calls makes the table's calls to the target.
-type calls Runner
+// targetCalls makes the calls of the control state to the target, each on its own goroutine.
+type targetCalls Runner
 
 // Start implements runs.Target.
-func (c *calls) Start(call runs.StartCall) {
+func (c *targetCalls) Start(call runs.StartCall) {
 	r := (*Runner)(c)
 	go func() {
-		began := time.Now()
-		answer, clockMs := r.o.Target.Start(call)
-		r.metrics.startUs.Update(time.Since(began).Microseconds())
-		r.do(func(now time.Time, s *state) { s.table.Started(now, call, answer, clockMs) })
+		sentAt := time.Now()
+		answer, clockMs := r.opts.Target.Start(call)
+		r.metrics.startUs.Update(time.Since(sentAt).Microseconds())
+		r.enqueue(func(now time.Time, s *state) { s.table.Started(now, call, answer, clockMs) })
 	}()
 }
 
 // Stop implements runs.Target.
-func (c *calls) Stop(call runs.StopCall) {
+func (c *targetCalls) Stop(call runs.StopCall) {
 	r := (*Runner)(c)
 	go func() {
-		answer := r.o.Target.Stop(call)
-		r.do(func(now time.Time, s *state) { s.table.Stopped(now, call, answer) })
+		answer := r.opts.Target.Stop(call)
+		r.enqueue(func(now time.Time, s *state) { s.table.Stopped(now, call, answer) })
 	}()
 }
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -31,7 +31,7 @@
 admission|internal/dispatch/intake.go|s/admitFactor = 1.1/admitFactor = 100/
 moving-overdue|internal/dispatch/overdue.go|s/overdueFactor = 4$/overdueFactor = 1000/;s/shunnedFactor = 2$/shunnedFactor = 1000/
 repeated-starts|internal/runs/target.go|s/maxStartRetries = 2/maxStartRetries = 0/
-records-of-targets|internal/runner/runner.go|s/	go r.recall(r.ctx)//
+records-of-targets|internal/runner/runner.go|s/	go r.restoreTarget(r.ctx)//
 data-centre|internal/dispatch/place.go|s/localHopMs, remoteHopMs = 3, 6/localHopMs, remoteHopMs = 3, 3/
 frames-at-once|internal/runs/load.go|s/loadInterval = 15/loadInterval = 60/
 TABLE
