--- a/internal/dispatcher/counters.go
+++ b/internal/dispatcher/counters.go
@@ -18,7 +18,7 @@
 
 func newCounters(queued func() int) *counters {
 	c := &counters{Counters: leased.NewCounters(queued)}
-	c.answerUs = c.Histogram("http.answer_us")
+	c.answerUs = c.RegisterHistogram("http.answer_us")
 	return c
 }
 
--- a/internal/leased/leased.go
+++ b/internal/leased/leased.go
@@ -110,7 +110,7 @@
 }
 
 // WriteMetrics writes the metrics as text, sorted by name: a line with name and value for
-// each counter and gauge, and a line per quantile for each histogram.
+// each counter and gauge, and for each histogram a line with its count and one per quantile.
 func WriteMetrics(w io.Writer, r metrics.Registry) {
 	var names []string
 	r.Each(func(name string, _ any) { names = append(names, name) })
@@ -154,8 +154,8 @@
 	metrics.GetOrRegisterGauge(name, c.Registry).Update(int64(value))
 }
 
-// Histogram registers a histogram whose sample is weighted towards the last five minutes.
-func (c Counters) Histogram(name string) metrics.Histogram {
+// RegisterHistogram registers a histogram whose sample is weighted towards the last five minutes.
+func (c Counters) RegisterHistogram(name string) metrics.Histogram {
 	return metrics.NewRegisteredHistogram(name, c.Registry, metrics.NewExpDecaySample(histogramSamples, 0.015))
 }
 
--- a/internal/leased/schedule_test.go
+++ b/internal/leased/schedule_test.go
@@ -359,7 +359,7 @@
 // defaultSchedules is the number of schedules; the environment variable SCHEDULES overrides it.
 const defaultSchedules = 60
 
-// Guards against broken promises under combined faults: sessions break, processes are killed,
+// Guards against violated guarantees under combined faults: sessions break, processes are killed,
 // targets crash, orders are lost or late, callers disconnect and resubmit. No task runs twice at
 // once, no job is answered as "not run" whose tasks ran or as "complete" whose tasks did not
 // complete, every job gets an answer, nothing starts in an evacuated data centre or beyond the
--- a/internal/leased/server.go
+++ b/internal/leased/server.go
@@ -16,8 +16,8 @@
 )
 
 // acceptRetryDelay is how long a server waits after a failed accept. The usual cause is that
-// the process has no free file descriptors: some connections close within this time, and the
-// log lines, one per failure, are limited.
+// the process has no free file descriptors; other connections close within this time. The
+// delay also limits the number of log lines, one per failure.
 const acceptRetryDelay = 50 * time.Millisecond
 
 // ConnLimits are the limits of a client's connection. A zero timeout is no timeout; zero
--- a/internal/runner/counters.go
+++ b/internal/runner/counters.go
@@ -15,7 +15,7 @@
 
 func newCounters(queued func() int) *counters {
 	c := &counters{Counters: leased.NewCounters(queued)}
-	c.startUs = c.Histogram("target.start_us")
+	c.startUs = c.RegisterHistogram("target.start_us")
 	return c
 }
 
--- a/internal/runner/entrysession.go
+++ b/internal/runner/entrysession.go
@@ -16,11 +16,11 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// handshakeError reports a first frame of a dispatcher that breaks the protocol.
-type handshakeError struct{ reason string }
+// welcomeError reports an invalid welcome, the first frame of a dispatcher.
+type welcomeError struct{ reason string }
 
 // Error implements error.
-func (e *handshakeError) Error() string { return "handshake: " + e.reason }
+func (e *welcomeError) Error() string { return "welcome: " + e.reason }
 
 // entrySession is a connection to a dispatcher.
 type entrySession struct {
@@ -71,14 +71,14 @@
 	return nil
 }
 
-// handleWelcome handles the first frame: it answers with a hello and adds the session to the
-// control state.
+// handleWelcome opens the session: it answers with a hello and adds the session to the
+// control state. The error is a *welcomeError or an *aliasError.
 func (s *entrySession) handleWelcome(w *wire.Welcome) error {
 	switch {
 	case w == nil:
-		return &handshakeError{"the first frame has no welcome"}
+		return &welcomeError{"it is missing from the first frame"}
 	case w.Version != wire.Version:
-		return &handshakeError{"the dispatcher has another protocol version"}
+		return &welcomeError{"unsupported protocol version"}
 	}
 	s.dialers.addPeers(w.Entries)
 	if err := s.dialers.registerSession(w.Incarnation, s.id); err != nil {
--- a/internal/runner/memory.go
+++ b/internal/runner/memory.go
@@ -42,8 +42,8 @@
 	return "camphorrack-targets-" + strconv.Itoa(int(h.Sum32()%recordTopics))
 }
 
-// storeTarget writes the target's record in the background, after its incarnation, capacity
-// or readiness has changed. It cancels the writing of an older record.
+// storeTarget writes the target's record in the background, after a new incarnation, a
+// departure or a change of capacity. It cancels the writing of an older record.
 func (r *Runner) storeTarget(a runs.Announcement) {
 	m := memory{a.Incarnation.Name, a.Incarnation.StartedMs, a.Service, a.Labels, a.Capacity, a.Leaving, a.DataCentre}
 	if r.cancelOlderWrite != nil {
--- a/internal/runner/module.go
+++ b/internal/runner/module.go
@@ -7,7 +7,7 @@
 	"github.com/camphorrack/camphorrack/internal/daemon"
 )
 
-// Module wires the daemon for fx.
+// Module returns the fx module that starts and stops the daemon.
 func Module(o Options) fx.Option {
 	return daemon.Program[*Runner]{
 		Name: Program, StopTimeout: o.Grace,
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -51,8 +51,8 @@
 
 	Store              platformlog.Keyed
 	Target             Target
-	ClassifyRenewError func(error) runs.RenewFailure
-	NewTargetHandler   func(*Runner) http.Handler
+	ClassifyRenewError func(error) runs.RenewFailure // of an error of Target.Renew
+	NewTargetHandler   func(*Runner) http.Handler    // serves TargetsAddr
 }
 
 const (
@@ -86,7 +86,7 @@
 	sessions    map[runs.ConnID]*entrySession
 }
 
-// Runner is the daemon.
+// Runner is the daemon on the host of a leased target.
 type Runner struct {
 	opts           Options
 	log            logr.Logger
@@ -100,7 +100,7 @@
 	servers        leased.Servers
 	ctx            context.Context // cancelled when the daemon stops
 	stop           context.CancelFunc
-	renewRequested chan struct{} // interrupts the delay before the next renewal
+	renewRequested chan struct{} // has an element while a renewal without delay is requested
 	// cancelOlderWrite cancels the writing of an older record of the target. Only the control
 	// goroutine accesses it.
 	cancelOlderWrite context.CancelFunc
--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -94,6 +94,7 @@
 	return nil
 }
 
+// outOfRange returns the fault of a number that is not within its limits, which are inclusive.
 func outOfRange(field string, low, high int) error {
 	return fault.Input(fault.BadField, field, "takes "+strconv.Itoa(low)+" to "+strconv.Itoa(high))
 }
