--- a/internal/dispatcher/answer.go
+++ b/internal/dispatcher/answer.go
@@ -13,24 +13,25 @@
 	"github.com/camphorrack/camphorrack/internal/routing"
 )
 
-// Routes returns the configuration in force, or nil.
+// Routes returns the routing table of the configuration in force, or nil if there is none yet.
 func (d *Dispatcher) Routes() *routing.Table { return d.routes.Load() }
 
-// Leaving reports whether the process is about to end.
-func (d *Dispatcher) Leaving() bool { return d.leaving.Load() }
+// Leaving reports whether the daemon is shutting down.
+func (d *Dispatcher) Leaving() bool { return d.draining.Load() }
 
-// Counted notes a request's answer.
-func (d *Dispatcher) Counted(status int, took time.Duration) { d.metrics.request(status, took) }
+// Counted records the HTTP status and the duration of a response in the metrics.
+func (d *Dispatcher) Counted(status int, took time.Duration) { d.metrics.observeResponse(status, took) }
 
-// Answer takes a job and returns its one answer. When the caller leaves first, the
-// job is ended.
+// Answer submits a job and waits for its only answer. If ctx ends first, because the caller
+// has disconnected, the job is abandoned and its outcome is unknown. If the command queue is
+// full for submitTimeout, the answer is that the job was not run.
 func (d *Dispatcher) Answer(ctx context.Context, j *dispatch.Job) dispatch.Answer {
 	d.setDeadline(j)
 	answers := make(chan dispatch.Answer, 1)
-	err := d.loop.Post(submitPatience, func(now time.Time, s *state) {
-		if hungUp(ctx) {
-			// The request lay in a buffer while the process or the network stood still.
-			// Its caller may be asking elsewhere by now.
+	err := d.loop.Post(submitTimeout, func(now time.Time, s *state) {
+		if callerDisconnected(ctx) {
+			// The request waited in a buffer while the process or the network was stalled.
+			// The caller may have sent the job to another entry since.
 			event.Log(d.log, event.JobAbandoned, "job", j.ID, "before", "submit")
 			answers <- dispatch.Answer{Kind: dispatch.AnswerUnknown, Fault: fault.New(fault.Cancelled, "the caller has left")}
 			return
@@ -46,46 +47,49 @@
 	case a := <-answers:
 		return a
 	case <-ctx.Done():
-		// An error means that the process ends; the sessions end with it, and the runs.
+		// Push fails only if the control loop has stopped. The process then exits, which
+		// ends its sessions and the runs.
 		_ = d.loop.Push(func(now time.Time, s *state) { s.core.Abandon(now, j.ID) })
 		return dispatch.Answer{Kind: dispatch.AnswerUnknown, Fault: fault.New(fault.Cancelled, "the caller has left")}
 	}
 }
 
-// setDeadline tells the job's deadline by the clock that decisions are made by. The host's
-// time of day may jump: with a deadline told by it, a jump of three seconds back made
-// every job seem to be past its time until the clock was right again.
+// setDeadline sets the job's deadline by the clock that scheduling decisions use. The host's
+// wall clock may jump: with deadlines taken from it, a jump of three seconds back made every
+// job look overdue until the clock was corrected.
 func (d *Dispatcher) setDeadline(j *dispatch.Job) { j.Deadline = d.clock.Now().Add(j.Timeout) }
 
-// ask runs a question on the control goroutine; one that finds no room is answered
-// like one about a job that is not known.
-func (d *Dispatcher) ask(question func(now time.Time, c *dispatch.Core)) {
-	if err := d.loop.Do(lookPatience, func(now time.Time, s *state) { question(now, s.core) }); err != nil {
+// runOnCore runs a command on the control goroutine and waits for it. If the command queue is
+// full for queryTimeout, it logs the error and skips the command; the caller then returns the
+// same as for an unknown job.
+func (d *Dispatcher) runOnCore(command func(now time.Time, c *dispatch.Core)) {
+	if err := d.loop.Do(queryTimeout, func(now time.Time, s *state) { command(now, s.core) }); err != nil {
 		event.Log(d.log, event.JobUndecided, "error", err.Error())
 	}
 }
 
-// State returns how a job stands; false: it is not known here.
+// State returns the state of a job, or false if the job is not known here.
 func (d *Dispatcher) State(id string) (st dispatch.JobState, known bool) {
-	d.ask(func(_ time.Time, c *dispatch.Core) { st, known = c.State(id) })
+	d.runOnCore(func(_ time.Time, c *dispatch.Core) { st, known = c.State(id) })
 	return st, known
 }
 
-// Cancel ends a job; false: it is not known here.
+// Cancel cancels a job and reports whether the job is known here.
 func (d *Dispatcher) Cancel(id string) (known bool) {
-	d.ask(func(now time.Time, c *dispatch.Core) { known = c.Cancel(now, id) })
+	d.runOnCore(func(now time.Time, c *dispatch.Core) { known = c.Cancel(now, id) })
 	return known
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns how many unanswered jobs of a queue have no finished task.
 func (d *Dispatcher) Pending(queue string) (n int) {
-	d.ask(func(_ time.Time, c *dispatch.Core) { n = c.Pending(queue) })
+	d.runOnCore(func(_ time.Time, c *dispatch.Core) { n = c.Pending(queue) })
 	return n
 }
 
-// connKey is the context's key of a request's connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
+// withConn stores a connection in the context of its requests, for callerDisconnected.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
--- a/internal/dispatcher/answer_test.go
+++ b/internal/dispatcher/answer_test.go
@@ -10,10 +10,10 @@
 	"github.com/camphorrack/camphorrack/internal/dispatch"
 )
 
-// The host's time of day jumps back by three seconds while the clock of the decisions goes
-// on. Told by the host's, every deadline was past by the other, and for as long as the jump
-// lasted every job was refused as one that can't be done in time.
-func TestDeadlinesFollowTheClockOfTheDecisions(t *testing.T) {
+// Guards against deadlines taken from the host's wall clock. If that clock jumps back by three
+// seconds while the scheduling clock does not, every deadline is already past and every job is
+// refused as infeasible until the wall clock is corrected.
+func TestDeadlineUsesSchedulingClock(t *testing.T) {
 	ahead := clock.NewFake(time.Now().Add(3 * time.Second))
 	d := &Dispatcher{clock: ahead}
 	j := &dispatch.Job{Timeout: 2 * time.Second}
--- a/internal/dispatcher/counters.go
+++ b/internal/dispatcher/counters.go
@@ -10,7 +10,7 @@
 	"github.com/camphorrack/camphorrack/internal/leased"
 )
 
-// counters are what the metrics page shows.
+// counters are the metrics of the daemon.
 type counters struct {
 	leased.Counters
 	answerUs metrics.Histogram
@@ -22,13 +22,13 @@
 	return c
 }
 
-// request counts an answer.
-func (c *counters) request(status int, took time.Duration) {
+// observeResponse counts a response by its HTTP status and records its duration.
+func (c *counters) observeResponse(status int, took time.Duration) {
 	metrics.GetOrRegisterCounter("http.responses."+strconv.Itoa(status), c.Registry).Inc(1)
 	c.answerUs.Update(took.Microseconds())
 }
 
-// update copies the control state's figures.
+// update copies the core's counters and gauges into the registry.
 func (c *counters) update(core *dispatch.Core) {
 	n := core.Counts()
 	c.SetGauge("dispatch.agents_usable", uint64(core.UsableAgents()))
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,7 +1,7 @@
-// Package dispatcher is the daemon on entry hosts in front of leased targets: it takes
-// callers' jobs, answers for them, and sends their tasks to the runners that have
-// dialled it. The control state (internal/dispatch) belongs to one goroutine; the
-// goroutines of requests and sessions hand it commands through a channel.
+// Package dispatcher implements the daemon on entry hosts that serves leased targets: it
+// accepts callers' jobs, sends their tasks to the connected runners and answers the callers.
+// The control state (internal/dispatch) is owned by one goroutine; the goroutines of requests
+// and sessions send it commands through a channel.
 package dispatcher
 
 import (
@@ -31,20 +31,20 @@
 // Program is the daemon's name.
 const Program = "camphorrack-dispatcher"
 
-// Options are the daemon's settings and what it is wired to.
+// Options are the settings and dependencies of the daemon.
 type Options struct {
 	Host, DataCentre string
-	CallerAddr       string // callers' requests
-	ReadyAddr        string // the balancer's question whether new connections may come
-	TargetsAddr      string // targets that announce themselves are turned away; empty: not served
-	SessionAddr      string // runners' sessions
+	CallerAddr       string // HTTP API for callers
+	ReadyAddr        string // readiness check of the balancer
+	TargetsAddr      string // rejects announcements of targets; empty: not served
+	SessionAddr      string // sessions with runners
 	MetricsAddr      string
 	Grace            time.Duration // between SIGTERM and SIGKILL
-	LeaseLimit       time.Duration
-	RemoteFactor     float64
-	MemoryMB         int
-	ProcessorShare   float64 // of a core
-	LinkMbps         float64 // of the host's network link; 0: not known
+	LeaseLimit       time.Duration // longest lease that targets grant
+	RemoteFactor     float64       // see dispatch.Options
+	MemoryMB         int           // memory limit of the host; see leased.LimitMemory
+	ProcessorShare   float64       // processor time available to the process, in cores
+	LinkMbps         float64       // bandwidth of the host's network link; 0: unknown
 
 	Store               platformlog.Keyed
 	Operator            leased.OperatorTopic
@@ -55,60 +55,62 @@
 }
 
 const (
-	// tickEvery is how often deadlines and retries are looked at: well below the
-	// shortest task.
-	tickEvery   = 20 * time.Millisecond
-	maxCommands = 4096
-	maxBatch    = 256
-	// submitPatience is how long a job may wait for the control goroutine; longer, and
-	// a queue of commands would hold jobs that are late before they are looked at.
-	submitPatience = 30 * time.Millisecond
-	// lookPatience is the same for questions about jobs.
-	lookPatience = 500 * time.Millisecond
-	// Limits of callers' requests until the configuration is known, and of all other
-	// connections: as operators usually set them.
+	// tickInterval is how often deadlines and retries are checked. It is well below the run
+	// time of the shortest task.
+	tickInterval = 20 * time.Millisecond
+	maxCommands  = 4096
+	maxBatch     = 256
+	// submitTimeout is how long a job may wait for room in the command queue of the control
+	// goroutine. With a longer one, jobs in the queue would be late before they are processed.
+	submitTimeout = 30 * time.Millisecond
+	// queryTimeout is the same limit for queries and cancellations of jobs.
+	queryTimeout = 500 * time.Millisecond
+	// Default limits of callers' connections, for those that the configuration does not set
+	// and until it is known, and the limits of all other connections. They are the values
+	// that operators usually set.
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 15 * time.Second
 	maxHeaderBytes = 16 << 10
-	// drainTail is the part of the grace that is kept for jobs that were let in last:
-	// callers wait 1.5 s for an answer.
-	drainTail = 2200 * time.Millisecond
-	// exitTail is kept for the end of the process.
-	exitTail = 500 * time.Millisecond
+	// drainReserve is the part of the grace period that is reserved for the jobs admitted
+	// last: callers wait 1.5 s for an answer.
+	drainReserve = 2200 * time.Millisecond
+	// exitReserve is the part of the grace period that is reserved for the exit of the process.
+	exitReserve = 500 * time.Millisecond
 )
 
-// state is what the control goroutine owns.
+// state is owned by the control goroutine.
 type state struct {
 	core        *dispatch.Core
-	conf        *confsync.Replica
+	config      *confsync.Replica
 	evacuations *evacuation.Replica
-	// entries are the addresses of dispatchers that runners have named, with their data
-	// centres where known; fresh are those that the runners were not told of yet.
-	entries map[string]string
-	fresh   []wire.Peer
-	// loadEvery is how often runners were told to report the load.
-	loadEvery time.Duration
+	// entries maps the addresses of dispatchers, as reported by runners, to their data
+	// centres (empty if unknown). unannounced are those to be sent to the runners on the
+	// next tick.
+	entries     map[string]string
+	unannounced []wire.Peer
+	// loadInterval is the minimum time between load reports that was last sent to runners.
+	loadInterval time.Duration
 }
 
 // Dispatcher is the daemon.
 type Dispatcher struct {
-	o           Options
-	log         logr.Logger
-	clock       clock.Clock
-	stall       *clock.StallDetector
-	incarnation job.Incarnation
-	loop        *control.Loop[*state]
-	metrics     *counters
-	sessions    *sessions
-	routes      atomic.Pointer[routing.Table]
-	usable      atomic.Int64
-	leaving     atomic.Bool
-	servers     leased.Servers
-	callers     *leased.Server
-	stop        context.CancelFunc
+	o            Options
+	log          logr.Logger
+	clock        clock.Clock
+	stall        *clock.StallDetector
+	incarnation  job.Incarnation
+	loop         *control.Loop[*state]
+	metrics      *counters
+	sessions     *sessions
+	routes       atomic.Pointer[routing.Table]
+	usableAgents atomic.Int64
+	draining     atomic.Bool
+	servers      leased.Servers
+	callerServer *leased.Server
+	stop         context.CancelFunc
 }
 
-// New returns a daemon that is bound to its addresses but does not serve yet.
+// New returns a daemon that listens on its addresses but does not serve yet.
 func New(o Options, log logr.Logger) (*Dispatcher, error) {
 	leased.LimitMemory(o.MemoryMB)
 	d := &Dispatcher{
@@ -118,7 +120,7 @@
 	d.sessions = newSessions(d)
 	d.loop = control.New(control.Options[*state]{
 		State: d.newState(), Clock: d.clock, MaxCommands: maxCommands, MaxBatch: maxBatch,
-		Tick: d.tick, TickInterval: func(*state) time.Duration { return tickEvery }, Flush: func(s *state) { s.core.Flush() },
+		Tick: d.tick, TickInterval: func(*state) time.Duration { return tickInterval }, Flush: func(s *state) { s.core.Flush() },
 		OnTurn: d.metrics.TurnObserver(log),
 	})
 	if err := d.listen(); err != nil {
@@ -134,29 +136,29 @@
 		Log: d.log, Outbox: d.sessions, DataCentre: d.o.DataCentre, LeaseLimit: d.o.LeaseLimit,
 		RemoteFactor: d.o.RemoteFactor, LinkMbps: d.o.LinkMbps, Now: time.Now,
 	})
-	s.conf = &confsync.Replica{Apply: d.adopt}
-	s.conf.Send = func(id confsync.PeerID, note confNote) { s.core.QueueConfigNote(dispatch.ConnID(id), note) }
+	s.config = &confsync.Replica{Apply: d.applyConfig}
+	s.config.Send = func(id confsync.PeerID, note configNote) { s.core.QueueConfigNote(dispatch.ConnID(id), note) }
 	s.evacuations = leased.NewEvacuationReplica(d.log, func(id evacuation.PeerID, list []evacuation.Record) {
 		s.core.QueueEvacuations(dispatch.ConnID(id), list)
 	}, s.core.Evacuate)
 	return s
 }
 
-// adopt takes a configuration into force.
-func (d *Dispatcher) adopt(_ time.Time, version uint64, body []byte) error {
+// applyConfig puts a configuration into force. If it is invalid, the previous one stays.
+func (d *Dispatcher) applyConfig(_ time.Time, version uint64, body []byte) error {
 	table, err := d.o.ParseConfig(body)
 	if err != nil {
 		event.Log(d.log, event.ConfigBad, "version", version, "error", err.Error())
 		return err
 	}
-	event.Log(d.log, event.ConfigApplied, "version", version, "routes", table.Len(), "was", d.version())
+	event.Log(d.log, event.ConfigApplied, "version", version, "routes", table.Len(), "was", d.configVersion())
 	d.routes.Store(table)
-	d.callers.SetLimits(connLimits(table.Limits))
+	d.callerServer.SetLimits(connLimits(table.Limits))
 	return nil
 }
 
-// connLimits returns the limits of callers' connections; what the operator left open
-// takes the usual value.
+// connLimits returns the limits of callers' connections, with the defaults for those that
+// the operator has not set.
 func connLimits(l routing.Limits) leased.ConnLimits {
 	return leased.ConnLimits{
 		HeaderBytes:   cmp.Or(l.HeaderBytes, maxHeaderBytes),
@@ -165,7 +167,7 @@
 	}
 }
 
-func (d *Dispatcher) version() uint64 {
+func (d *Dispatcher) configVersion() uint64 {
 	if table := d.routes.Load(); table != nil {
 		return table.Version
 	}
@@ -177,10 +179,10 @@
 		event.Log(d.log, event.ProcessStalled, "ms", gap.Milliseconds())
 	}
 	s.core.Tick(now)
-	s.conf.Tick(now)
-	d.sessions.passOn(s)
-	d.sessions.pace(s)
-	d.usable.Store(int64(s.core.UsableAgents()))
+	s.config.Tick(now)
+	d.sessions.announceEntries(s)
+	d.sessions.updateLoadInterval(s)
+	d.usableAgents.Store(int64(s.core.UsableAgents()))
 }
 
 func (d *Dispatcher) refreshMetrics() error {
@@ -188,25 +190,28 @@
 }
 
 func (d *Dispatcher) listen() error {
-	inner := gin.New()
-	inner.GET(session.Path, d.sessions.serve)
-	page := gin.New()
-	page.GET(leased.MetricsPath, leased.Metrics(d.log, d.metrics.Registry, d.refreshMetrics))
-	callers, err := d.servers.Listen(d.log, connLimits(routing.Limits{}), withConn,
-		leased.Endpoint{Purpose: "runners", Addr: d.o.SessionAddr, Handler: inner},
+	sessionRouter := gin.New()
+	sessionRouter.GET(session.Path, d.sessions.serve)
+	metricsRouter := gin.New()
+	metricsRouter.GET(leased.MetricsPath, leased.Metrics(d.log, d.metrics.Registry, d.refreshMetrics))
+	callerServer, err := d.servers.Listen(d.log, connLimits(routing.Limits{}), withConn,
+		leased.Endpoint{Purpose: "runners", Addr: d.o.SessionAddr, Handler: sessionRouter},
 		leased.Endpoint{Purpose: "the balancer", Addr: d.o.ReadyAddr, Handler: d.o.NewReadinessHandler(d.ready)},
-		leased.Endpoint{Purpose: "metrics", Addr: d.o.MetricsAddr, Handler: page},
-		leased.Endpoint{Purpose: "targets", Addr: d.o.TargetsAddr, Handler: http.HandlerFunc(turnAway)},
+		leased.Endpoint{Purpose: "metrics", Addr: d.o.MetricsAddr, Handler: metricsRouter},
+		leased.Endpoint{Purpose: "targets", Addr: d.o.TargetsAddr, Handler: http.HandlerFunc(rejectTarget)},
 		leased.Endpoint{Purpose: "callers", Addr: d.o.CallerAddr, Handler: d.o.NewCallerHandler(d)},
 	)
-	d.callers = callers
+	d.callerServer = callerServer
 	return err
 }
 
-// turnAway answers a target that comes here: the runner on its own host serves it.
-func turnAway(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+// rejectTarget answers a target's announcement with 503: targets announce themselves to the
+// runner on their own host.
+func rejectTarget(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
 
-// Start serves until Stop.
+// Start starts serving; Stop ends it.
 func (d *Dispatcher) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
@@ -219,30 +224,30 @@
 		"inner", d.o.SessionAddr, "incarnation", d.incarnation.String(), "memory_mb", d.o.MemoryMB)
 }
 
-// ready reports whether new connections may come.
+// ready reports whether the balancer may send new connections here.
 func (d *Dispatcher) ready() bool {
-	return !d.leaving.Load() && d.routes.Load() != nil && d.usable.Load() > 0
+	return !d.draining.Load() && d.routes.Load() != nil && d.usableAgents.Load() > 0
 }
 
-// Stop drains and ends the daemon. New connections stop coming once the balancer has
-// heard that it is not ready; those that are open are served on until their answers
-// fit into what is left of the grace.
+// Stop drains and stops the daemon. The balancer sends no new connections once its readiness
+// check fails. Open connections are served until drainReserve is left of the grace period;
+// then new jobs are refused and the answers to admitted jobs are awaited.
 func (d *Dispatcher) Stop(ctx context.Context) error {
 	began := time.Now()
-	d.leaving.Store(true)
+	d.draining.Store(true)
 	event.Log(d.log, event.DrainStarted, "grace_ms", d.o.Grace.Milliseconds())
-	clock.Sleep(ctx, time.Until(began.Add(d.o.Grace-drainTail)))
-	_ = d.loop.Push(func(_ time.Time, s *state) { s.core.Drain() }) // an error means that it has ended
-	until := began.Add(d.o.Grace - exitTail)
-	for live := 1; live > 0 && time.Now().Before(until) && ctx.Err() == nil; {
-		if err := d.loop.Do(lookPatience, func(_ time.Time, s *state) { live = s.core.UnansweredJobs() }); err != nil {
+	clock.Sleep(ctx, time.Until(began.Add(d.o.Grace-drainReserve)))
+	_ = d.loop.Push(func(_ time.Time, s *state) { s.core.Drain() }) // fails only if the loop has stopped
+	deadline := began.Add(d.o.Grace - exitReserve)
+	for unanswered := 1; unanswered > 0 && time.Now().Before(deadline) && ctx.Err() == nil; {
+		if err := d.loop.Do(queryTimeout, func(_ time.Time, s *state) { unanswered = s.core.UnansweredJobs() }); err != nil {
 			break
 		}
-		clock.Sleep(ctx, tickEvery)
+		clock.Sleep(ctx, tickInterval)
 	}
-	closing, cancel := context.WithTimeout(ctx, exitTail/2)
+	shutdownCtx, cancel := context.WithTimeout(ctx, exitReserve/2)
 	defer cancel()
-	err := d.callers.Shutdown(closing)
+	err := d.callerServer.Shutdown(shutdownCtx)
 	d.stop()
 	d.servers.Close()
 	d.loop.Stop()
--- a/internal/dispatcher/hungup.go
+++ b/internal/dispatcher/hungup.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// hungUp reports whether the caller of a request has closed its connection. The
-// library notices that too, some time after the handler has begun; a request that
-// waited in a buffer of a frozen host would be started before.
-func hungUp(ctx context.Context) bool {
+// callerDisconnected reports whether the caller of a request has closed its connection.
+// net/http also detects this, but only some time after the handler has started; a request
+// that waited in a buffer of a frozen host would be submitted before that.
+func callerDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
 	}
@@ -28,6 +28,7 @@
 	return closed || err != nil
 }
 
+// rawConn returns the TCP connection that withConn has stored in the context.
 func rawConn(ctx context.Context) (syscall.RawConn, error) {
 	tcp, ok := ctx.Value(connKey{}).(*net.TCPConn)
 	if !ok {
--- a/internal/dispatcher/module.go
+++ b/internal/dispatcher/module.go
@@ -7,7 +7,7 @@
 	"github.com/camphorrack/camphorrack/internal/daemon"
 )
 
-// Module wires the daemon for fx.
+// Module returns the fx module of the daemon.
 func Module(o Options) fx.Option {
 	return daemon.Program[*Dispatcher]{
 		Name: Program, StopTimeout: o.Grace,
--- a/internal/dispatcher/operator.go
+++ b/internal/dispatcher/operator.go
@@ -7,29 +7,31 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// operatorReader takes what operators write to the platform's log.
+// operatorReader applies the evacuations and configurations that operators write to the
+// platform's log.
 type operatorReader struct{ *Dispatcher }
 
-// Snapshot implements platformlog.Reader. The evacuations go first: with a configuration
-// comes work.
+// Snapshot implements platformlog.Reader. Evacuations are applied before a configuration,
+// because jobs are accepted as soon as a configuration is in force.
 func (r operatorReader) Snapshot(entries []platformlog.Entry, end uint64) {
-	listed := r.o.Operator.EvacuationRecords(r.log, entries...)
-	r.do(func(now time.Time, s *state) { s.evacuations.MergeSnapshot(now, listed, end) })
+	records := r.o.Operator.EvacuationRecords(r.log, entries...)
+	r.push(func(now time.Time, s *state) { s.evacuations.MergeSnapshot(now, records, end) })
 	for _, e := range entries {
-		r.configured(e)
+		r.applyConfigEntry(e)
 	}
 }
 
 // Changed implements platformlog.Reader.
 func (r operatorReader) Changed(e platformlog.Entry) {
-	for _, statement := range r.o.Operator.EvacuationRecords(r.log, e) {
-		r.do(func(now time.Time, s *state) { s.evacuations.MergeRecord(now, statement) })
+	for _, record := range r.o.Operator.EvacuationRecords(r.log, e) {
+		r.push(func(now time.Time, s *state) { s.evacuations.MergeRecord(now, record) })
 	}
-	r.configured(e)
+	r.applyConfigEntry(e)
 }
 
-// configured takes a configuration; other records say nothing of it.
-func (r operatorReader) configured(e platformlog.Entry) {
+// applyConfigEntry applies a record if it is a configuration, and ignores other records and
+// deletions.
+func (r operatorReader) applyConfigEntry(e platformlog.Entry) {
 	if e.Key != r.o.Operator.ConfigKey || len(e.Value) == 0 {
 		return
 	}
@@ -38,12 +40,12 @@
 		event.Log(r.log, event.ConfigBad, "error", err.Error())
 		return
 	}
-	// A body that can't be read was logged.
-	r.do(func(now time.Time, s *state) { _ = s.conf.Update(now, version, e.Value) })
+	// applyConfig logs the error.
+	r.push(func(now time.Time, s *state) { _ = s.config.Update(now, version, e.Value) })
 }
 
-// do hands a command to the control goroutine.
-func (r operatorReader) do(command func(time.Time, *state)) {
-	// The error means that the process ends.
+// push sends a command to the control goroutine.
+func (r operatorReader) push(command func(time.Time, *state)) {
+	// Push fails only if the control loop has stopped, when the process exits.
 	_ = r.loop.Push(command)
 }
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -18,29 +18,28 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-type confNote = wire.ConfigNote
+type configNote = wire.ConfigNote
 
-// helloError is a connection that does not open as it must.
-type helloError struct{ what string }
+// helloError is a missing or invalid hello at the start of a connection.
+type helloError struct{ reason string }
 
 // Error implements error.
-func (e *helloError) Error() string { return "hello: " + e.what }
+func (e *helloError) Error() string { return "hello: " + e.reason }
 
-// sessions serves the runners' connections. Its map belongs to the control
-// goroutine.
+// sessions serves the connections of runners. conns is owned by the control goroutine.
 type sessions struct {
 	*Dispatcher
 	options session.Options
 	conns   map[dispatch.ConnID]*session.ToAgentConn
-	last    atomic.Uint64
+	lastID  atomic.Uint64
 }
 
 func newSessions(d *Dispatcher) *sessions {
 	return &sessions{Dispatcher: d, options: leased.SessionOptions(d.metrics.Sessions), conns: map[dispatch.ConnID]*session.ToAgentConn{}}
 }
 
-// Send implements dispatch.Outbox. A frame for a connection that has just ended is
-// dropped: its orders are given up with it.
+// Send implements dispatch.Outbox. A frame for a closed connection is dropped: its orders are
+// given up when the connection is removed.
 func (s *sessions) Send(id dispatch.ConnID, f *wire.ToAgent) {
 	if conn := s.conns[id]; conn != nil {
 		conn.Send(f)
@@ -54,40 +53,40 @@
 	}
 }
 
-// serve is the handler of session.Path; it lasts as long as the connection.
+// serve handles requests to session.Path. It returns when the connection has ended.
 func (s *sessions) serve(g *gin.Context) {
 	conn, err := session.Accept(g.Writer, g.Request, s.options)
 	if err != nil {
-		return // the handshake wrote the response
+		return // Accept has written the response
 	}
-	r := &runnerSession{sessions: s, conn: conn, id: dispatch.ConnID(s.last.Add(1))}
-	// The welcome goes first: a runner that has a session with this process at another
-	// address closes this one, and says no hello that would replace the other.
+	r := &runnerSession{sessions: s, conn: conn, id: dispatch.ConnID(s.lastID.Add(1))}
+	// The welcome is sent first: a runner that has a session with this process at another
+	// address closes this one without a hello, which would replace the other session.
 	err = r.loop.Push(func(_ time.Time, st *state) {
 		conn.Send(&wire.ToAgent{Welcome: &wire.Welcome{
-			Version: wire.Version, Incarnation: r.incarnation, Addr: r.o.SessionAddr, DataCentre: r.o.DataCentre, Entries: st.known(),
+			Version: wire.Version, Incarnation: r.incarnation, Addr: r.o.SessionAddr, DataCentre: r.o.DataCentre, Entries: st.knownEntries(),
 		}})
 	})
 	if err != nil {
 		conn.Close(err)
 	}
-	r.ended(conn.Serve(r.receive))
+	r.handleClose(conn.Serve(r.receive))
 }
 
 // runnerSession is one connection of a runner.
 type runnerSession struct {
 	*sessions
-	conn   *session.ToAgentConn
-	id     dispatch.ConnID
-	opened bool
+	conn          *session.ToAgentConn
+	id            dispatch.ConnID
+	helloReceived bool
 }
 
 func (r *runnerSession) receive(f *wire.ToEntry) error {
-	if !r.opened {
-		return r.open(f.Hello)
+	if !r.helloReceived {
+		return r.handleHello(f.Hello)
 	}
 	if f.IsHeartbeat() {
-		return nil // the session has seen it
+		return nil // the session has recorded it
 	}
 	return r.loop.Push(func(now time.Time, s *state) {
 		if f.Leased == nil {
@@ -95,79 +94,83 @@
 		}
 		s.evacuations.MergeFromPeer(now, evacuation.PeerID(r.id), f.Leased.Evacuations)
 		s.core.Receive(now, r.id, f.Leased)
-		r.heardConfig(now, s, f.Leased.Config)
+		r.handleConfigNote(now, s, f.Leased.Config)
 	})
 }
 
-func (r *runnerSession) heardConfig(now time.Time, s *state, note *wire.ConfigNote) {
-	if err := s.conf.HandleNote(now, confsync.PeerID(r.id), note); err != nil {
+func (r *runnerSession) handleConfigNote(now time.Time, s *state, note *wire.ConfigNote) {
+	if err := s.config.HandleNote(now, confsync.PeerID(r.id), note); err != nil {
 		event.Log(r.log, event.ConfigBad, "conn", uint64(r.id), "error", err.Error())
 	}
 }
 
-func (r *runnerSession) open(h *wire.Hello) error {
+// handleHello validates the hello and registers the connection with the control state. The
+// error is a *helloError, or control.ErrStopped.
+func (r *runnerSession) handleHello(h *wire.Hello) error {
 	switch {
 	case h == nil:
-		return &helloError{"the first frame carries none"}
+		return &helloError{"missing in the first frame"}
 	case h.Version != wire.Version:
-		return &helloError{"another version of the protocol"}
+		return &helloError{"unsupported protocol version"}
 	case h.Worker == "":
-		return &helloError{"the host's name is missing"}
+		return &helloError{"host name is missing"}
 	}
-	r.opened = true
+	r.helloReceived = true
 	event.Log(r.log, event.SessionOpened, "conn", uint64(r.id), "host", h.Worker, "peer", r.conn.RemoteAddr())
 	return r.loop.Push(func(now time.Time, s *state) {
 		r.conns[r.id] = r.conn
-		s.learn(r.o.SessionAddr, h.Entries)
+		s.addEntries(r.o.SessionAddr, h.Entries)
 		s.core.Connect(now, r.id, h)
-		s.core.QueueLoadInterval(r.id, s.loadEvery)
+		s.core.QueueLoadInterval(r.id, s.loadInterval)
 		s.evacuations.PeerUp(evacuation.PeerID(r.id))
-		s.conf.PeerUp(confsync.PeerID(r.id))
+		s.config.PeerUp(confsync.PeerID(r.id))
 	})
 }
 
-// learn notes dispatchers that were not known, to be passed on: a runner that the store
-// turns away finds them through those it has.
-func (s *state) learn(own string, named []wire.Peer) {
-	for _, p := range named {
+// addEntries adds dispatchers that a runner has reported, and marks those that are new or
+// whose data centre has changed for announcement. A runner that the store rejects can only
+// find dispatchers through those it is connected to.
+func (s *state) addEntries(ownAddr string, peers []wire.Peer) {
+	for _, p := range peers {
 		dataCentre, known := s.entries[p.Addr]
-		if p.Addr == own || known && (dataCentre == p.DataCentre || p.DataCentre == "") || len(s.entries) >= maxEntries {
+		if p.Addr == ownAddr || known && (dataCentre == p.DataCentre || p.DataCentre == "") || len(s.entries) >= maxEntries {
 			continue
 		}
 		s.entries[p.Addr] = p.DataCentre
-		s.fresh = append(s.fresh, p)
+		s.unannounced = append(s.unannounced, p)
 	}
 }
 
-// passOn tells the runners of the dispatchers that were learned since the last call. Told one
-// at a time, each of them in a fleet that starts would cost a frame a runner.
-func (s *sessions) passOn(st *state) {
-	if len(st.fresh) == 0 {
+// announceEntries sends the runners all dispatchers added since the last call in one frame. If
+// each were sent at once, it would cost one frame per runner while a fleet starts.
+func (s *sessions) announceEntries(st *state) {
+	if len(st.unannounced) == 0 {
 		return
 	}
 	for _, conn := range s.conns {
-		conn.Send(&wire.ToAgent{Entries: st.fresh})
+		conn.Send(&wire.ToAgent{Entries: st.unannounced})
 	}
-	st.fresh = nil
+	st.unannounced = nil
 }
 
-// pace tells the runners how often to report the load, where that has changed.
-func (s *sessions) pace(st *state) {
-	every := reporting.Interval(s.o.ProcessorShare, len(s.conns))
-	if len(s.conns) == 0 || !reporting.SignificantChange(every, st.loadEvery) {
+// updateLoadInterval sends the runners the minimum time between load reports if it has changed
+// significantly.
+func (s *sessions) updateLoadInterval(st *state) {
+	interval := reporting.Interval(s.o.ProcessorShare, len(s.conns))
+	if len(s.conns) == 0 || !reporting.SignificantChange(interval, st.loadInterval) {
 		return
 	}
-	event.Log(s.log, event.ReportsPaced, "every_ms", clock.Millis(every), "was_ms", clock.Millis(st.loadEvery), "runners", len(s.conns))
-	st.loadEvery = every
+	event.Log(s.log, event.ReportsPaced, "every_ms", clock.Millis(interval), "was_ms", clock.Millis(st.loadInterval), "runners", len(s.conns))
+	st.loadInterval = interval
 	for id := range s.conns {
-		st.core.QueueLoadInterval(id, every)
+		st.core.QueueLoadInterval(id, interval)
 	}
 }
 
-// maxEntries bounds the addresses kept; old ones are not forgotten.
+// maxEntries limits the number of known addresses; old ones are not evicted.
 const maxEntries = 1024
 
-func (s *state) known() []wire.Peer {
+func (s *state) knownEntries() []wire.Peer {
 	peers := make([]wire.Peer, 0, len(s.entries))
 	for addr, dataCentre := range s.entries {
 		peers = append(peers, wire.Peer{Addr: addr, DataCentre: dataCentre})
@@ -175,23 +178,24 @@
 	return peers
 }
 
-func (r *runnerSession) ended(err error) {
+// handleClose logs the end of the connection and removes it from the control state.
+func (r *runnerSession) handleClose(err error) {
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
-		id := event.SessionClosed
+		eventID := event.SessionClosed
 		if closed.Reason == session.ReasonSilent || closed.Reason == session.ReasonUnacknowledged {
-			id = event.SessionSilent
+			eventID = event.SessionSilent
 		}
-		event.Log(r.log, id, "conn", uint64(r.id), "peer", r.conn.RemoteAddr(), "reason", string(closed.Reason), "error", closed.Error())
+		event.Log(r.log, eventID, "conn", uint64(r.id), "peer", r.conn.RemoteAddr(), "reason", string(closed.Reason), "error", closed.Error())
 	}
-	if !r.opened {
+	if !r.helloReceived {
 		return
 	}
-	// The error means that the process ends, and the state with it.
+	// Push fails only if the control loop has stopped; its state is not used any more.
 	_ = r.loop.Push(func(now time.Time, s *state) {
 		delete(r.conns, r.id)
 		s.core.Disconnect(now, r.id)
 		s.evacuations.PeerDown(evacuation.PeerID(r.id))
-		s.conf.PeerDown(confsync.PeerID(r.id))
+		s.config.PeerDown(confsync.PeerID(r.id))
 	})
 }
