--- a/internal/forward/counters.go
+++ b/internal/forward/counters.go
@@ -2,13 +2,13 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// Counters count the hop's outcomes since the start of the process.
+// Counters count forwarded requests and their outcomes since the start of the process.
 type Counters struct {
-	Forwarded      metrics.Counter // requests passed on
-	FailedCalls    metrics.Counter // calls without a whole reply in time
-	Undecided      metrics.Counter
-	OwnerGone      metrics.Counter
-	OutcomeUnknown metrics.Counter
+	Forwarded      metrics.Counter // requests forwarded to their owner
+	FailedCalls    metrics.Counter // calls without a valid and complete reply
+	Undecided      metrics.Counter // requests answered with fault.Undecided
+	OwnerGone      metrics.Counter // requests answered with fault.OwnerGone
+	OutcomeUnknown metrics.Counter // requests answered with fault.OutcomeUnknown
 }
 
 // NewCounters returns counters at zero.
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,10 +1,10 @@
-// Package forward carries a request about a submission to the entry that owns it.
+// Package forward forwards a request about a submission to the entry that owns it.
 //
-// Only the owner named in an id may start the submission, so any other entry that
-// the balancer picks passes the request on, once. Sending it again is harmless,
-// because everything is idempotent by id. What this package must never do is turn
-// "I can't reach the owner" into "it did not run", or into a failure that the
-// owner's own answer could contradict.
+// Only the owner encoded in an id may start the submission, so any other entry that the
+// balancer picks forwards the request to the owner. A request is forwarded only once, but a
+// call to the owner may be repeated, because all requests are idempotent by id. An
+// unreachable owner must never be reported as "not run", nor as a failure that the owner's
+// own answer could contradict.
 package forward
 
 import (
@@ -22,63 +22,64 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// Headers between entries.
+// HTTP headers between entries.
 const (
-	// HeaderIncarnation names one run of the process that answered.
+	// HeaderIncarnation is the incarnation of the entry that wrote the response.
 	HeaderIncarnation = "Camphorrack-Incarnation"
-	// HeaderForwarded marks a forwarded request. It is never forwarded again, so
-	// two entries with stale ideas of each other can't pass it round for ever.
+	// HeaderForwarded marks a forwarded request. It is not forwarded again, so that entries
+	// with stale addresses of each other can't forward it in a loop.
 	HeaderForwarded = "Camphorrack-Forwarded"
-	// HeaderWithheld marks a look-up by an entry that was given a complete answer and
-	// could not pass it on in time.
+	// HeaderWithheld marks a look-up by an entry that received a complete answer too late to
+	// return it to the caller.
 	HeaderWithheld = "Camphorrack-Withheld"
 )
 
-// JobPath returns where the answer to a submission is looked up.
+// JobPath returns the URL path at which the answer to a submission is looked up.
 func JobPath(id string) string { return "/v1/jobs/" + id }
 
-// Timing of the hop.
+// Timing of calls to the owner.
 const (
-	// LongPollTimeout is the longest wait asked of the owner at a time. A longer one would
-	// hide a connection that went silent until the wait is over.
+	// LongPollTimeout is the longest wait for an answer that one call requests. With a longer
+	// one, a connection that went silent would only be noticed after that wait.
 	LongPollTimeout = 500 * time.Millisecond
-	// lateSlice takes the place of LongPollTimeout past the deadline. It is not zero, so that an
-	// owner whose clock is behind is not asked without a pause.
-	lateSlice = 100 * time.Millisecond
-	// replyGrace is the silence allowed beyond the slice. With the slice it stays
-	// under 1.5 s; twice it fits into the 2 s that a client gives a call that
-	// waits for nothing.
+	// pastDeadlinePollTimeout replaces LongPollTimeout past the deadline. It is not zero, so
+	// that an owner whose clock is behind is not polled in a busy loop.
+	pastDeadlinePollTimeout = 100 * time.Millisecond
+	// replyGrace is how long a connection may be silent beyond the requested wait. Wait and
+	// grace together stay under 1.5 s, and twice the grace fits into the 2 s that a client
+	// allows for a call without a wait.
 	replyGrace = 800 * time.Millisecond
-	// tries is how many calls in a row may fail before the caller is told
-	// "undecided". The second call uses a new connection, so one that went silent
-	// alone is survived; more would keep the caller waiting without news.
-	tries = 2
-	// retryAfter is when a caller should ask again: an owner that was paused or
-	// cut off briefly is back by then, and a restarted one answers.
+	// maxAttempts is how many consecutive calls may fail before the request is answered as
+	// undecided. The second call uses a new connection, so that a single silent connection
+	// is tolerated; more calls would delay the answer to the caller.
+	maxAttempts = 2
+	// retryAfter is the delay after which a caller should retry: by then an owner that was
+	// paused or disconnected briefly is reachable again, and a restarted one responds.
 	retryAfter = 500 * time.Millisecond
 )
 
-// MaxClockSkew is how far two entries' clocks may differ. An entry that can't reach
-// the owner declares the outcome unknown, for good, only this much after the owner has
-// stopped answering "complete"; with clocks further apart, a caller could get both.
+// MaxClockSkew is the largest supported difference between the clocks of two entries. An entry
+// that can't reach the owner reports the outcome as unknown, which is final, only this long
+// after the owner has stopped answering "complete". With a larger difference, a caller could
+// get both answers.
 const MaxClockSkew = 500 * time.Millisecond
 
-// Options configures a Forwarder. A zero field takes the default.
+// Options configure a Forwarder. A zero field is replaced by its default.
 type Options struct {
 	Log   logr.Logger
 	Clock clock.Clock
-	// LongPollTimeout, ReplyGrace and RetryDelay are shorter in tests only.
+	// LongPollTimeout, ReplyGrace and RetryDelay are set only in tests, to shorter times.
 	LongPollTimeout, ReplyGrace, RetryDelay time.Duration
 	Counters                                *Counters
 }
 
-// Forwarder calls other entries. It is safe for concurrent use.
+// Forwarder forwards requests to other entries. It is safe for concurrent use.
 type Forwarder struct {
 	o     Options
 	peers *peers
 }
 
-// New returns a forwarder.
+// New returns a forwarder with the given options.
 func New(o Options) *Forwarder {
 	if o.LongPollTimeout == 0 {
 		o.LongPollTimeout = LongPollTimeout
@@ -95,114 +96,117 @@
 	return &Forwarder{o: o, peers: newPeers(o.Clock)}
 }
 
-// Request is one request about a submission, or several of one owner.
+// Request is a request about one submission, or about several of the same owner.
 type Request struct {
 	Owner       job.Owner
-	ID          string    // of the submission, for the log; empty for several
-	Deadline    time.Time // the id's; the latest where there are several
+	ID          string    // of the submission, for the log and the look-up; empty for several
+	Deadline    time.Time // of the id; the latest one of several ids
 	Method      string
 	Path        string
 	Body        []byte
-	Wait        time.Duration // how long the caller wants to wait for the answer
-	AcceptsWait bool          // whether the path takes wait_ms
-	Withheld    bool          // the owner's complete answer came too late to be passed on
+	Wait        time.Duration // how long to wait for a final answer
+	AcceptsWait bool          // whether the path accepts the query parameter wait_ms
+	Withheld    bool          // sets HeaderWithheld
 }
 
-// unknownFrom returns the time from which an owner that can't be reached gives no
-// complete answer any more, by any clock.
-func (r Request) unknownFrom() time.Time { return r.Deadline.Add(job.AnswerGrace + MaxClockSkew) }
+// outcomeUnknownAfter returns the time after which an unreachable owner gives no complete
+// answer any more, whichever entry's clock is used.
+func (r Request) outcomeUnknownAfter() time.Time {
+	return r.Deadline.Add(job.AnswerGrace + MaxClockSkew)
+}
 
-// Reply is the owner's reply, to be passed on as it is.
+// Reply is the owner's reply, to be returned to the caller unchanged.
 type Reply struct {
 	Status     int
-	RetryAfter string // the header
+	RetryAfter string // the header of that name
 	Body       []byte
 }
 
-// pending reports whether the owner has no final answer yet.
+// pending reports whether the submission has no final answer yet.
 func (r *Reply) pending() bool { return r.Status == http.StatusAccepted }
 
-// Do asks the owner until it has a final answer, the wait is over (the reply is
-// then the last "pending") or the owner can't be reached. The error is a
-// *fault.Fault: OwnerGone and OutcomeUnknown are final, Undecided is not.
+// Do calls the owner until it returns a final answer, r.Wait is over (the reply is then the
+// last one that was pending) or the owner can't be reached. The error is a *fault.Fault with
+// one of the codes OwnerGone and OutcomeUnknown, which are final, and Undecided, which is not.
 func (f *Forwarder) Do(ctx context.Context, r Request) (*Reply, error) {
 	f.o.Counters.Forwarded.Inc(1)
 	event.Log(f.o.Log.V(1), event.JobForwarded, "job", r.ID, "owner", r.Owner.Addr.String(), "method", r.Method)
 	until := f.o.Clock.Now().Add(r.Wait)
 	failures := 0
 	for {
-		reply, err := f.once(ctx, r, f.slice(r, until))
+		reply, err := f.attempt(ctx, r, f.pollTimeout(r, until))
 		switch {
 		case err == nil && (!reply.pending() || !f.o.Clock.Now().Before(until)):
 			return reply, nil
 		case err == nil:
 			failures = 0
-			r = r.lookup()
+			r = r.asLookup()
 		case errors.Is(err, errAnotherIncarnation):
 			return nil, f.ownerGone(r)
 		default:
 			failures++
 			f.o.Counters.FailedCalls.Inc(1)
-			if failures >= tries || ctx.Err() != nil {
-				return nil, f.unreachable(r, err)
+			if failures >= maxAttempts || ctx.Err() != nil {
+				return nil, f.ownerUnreachable(r, err)
 			}
-			pause(ctx, f.o.RetryDelay)
+			sleep(ctx, f.o.RetryDelay)
 		}
 	}
 }
 
-// lookup turns a submission that the owner has accepted into a question about it,
-// so that the body crosses the network once. Other requests stay as they are.
-func (r Request) lookup() Request {
+// asLookup converts the request for a submission that the owner has accepted into a look-up, so
+// that the body is sent only once. It returns other requests unchanged.
+func (r Request) asLookup() Request {
 	if r.Method == http.MethodPost && r.ID != "" {
 		r.Method, r.Path, r.Body = http.MethodGet, JobPath(r.ID), nil
 	}
 	return r
 }
 
-// once makes one call, for one slice of the wait.
-func (f *Forwarder) once(ctx context.Context, r Request, slice time.Duration) (*Reply, error) {
+// attempt calls the owner once. pollTimeout is the wait that the call requests.
+func (f *Forwarder) attempt(ctx context.Context, r Request, pollTimeout time.Duration) (*Reply, error) {
 	p := f.peers.get(r.Owner.Addr)
-	reply, err := p.call(ctx, r, slice, slice+f.o.ReplyGrace)
+	reply, err := p.call(ctx, r, pollTimeout, pollTimeout+f.o.ReplyGrace)
 	if err != nil && !errors.Is(err, errAnotherIncarnation) {
-		// Whatever took this connection's bytes has likely forgotten the idle ones too;
-		// without them the next call makes a new one.
+		// The cause, such as a network device that has lost its connection state, has
+		// probably broken the idle connections too. Without them the next call opens a
+		// new one.
 		p.closeIdle()
 	}
 	return reply, err
 }
 
-// slice returns how long the owner may hold its reply back. Past the deadline it has a
-// final answer, and to wait for one would only put off finding that it is silent.
-func (f *Forwarder) slice(r Request, until time.Time) time.Duration {
+// pollTimeout returns how long the owner may delay its reply to the next call. Past the deadline
+// the owner has a final answer, and a longer wait would only delay the detection of its silence.
+func (f *Forwarder) pollTimeout(r Request, until time.Time) time.Duration {
 	now := f.o.Clock.Now()
-	most := f.o.LongPollTimeout
+	timeout := f.o.LongPollTimeout
 	if now.After(r.Deadline.Add(MaxClockSkew)) {
-		most = min(most, lateSlice)
+		timeout = min(timeout, pastDeadlinePollTimeout)
 	}
-	return min(most, max(until.Sub(now), 0))
+	return min(timeout, max(until.Sub(now), 0))
 }
 
-// ownerGone is the answer once another incarnation replied from the owner's
-// address: no two processes can listen there, so the owner has ended. It may have
-// started tasks before, and what it answered before stands.
+// ownerGone returns the fault for a reply of another incarnation from the owner's address. Two
+// processes can't listen on the same address, so the owner has ended. It may have started tasks
+// before, and the answers it gave remain valid.
 func (f *Forwarder) ownerGone(r Request) *fault.Fault {
 	f.o.Counters.OwnerGone.Inc(1)
 	return OwnerGone(r.Owner)
 }
 
-// OwnerGone returns the fault for an owner that is proved to have ended.
+// OwnerGone returns the fault for an owner whose process has certainly ended.
 func OwnerGone(o job.Owner) *fault.Fault {
 	return fault.Newf(fault.OwnerGone, "the entry %s at %s has ended; what it had accepted may have run",
 		o.Incarnation, o.Addr)
 }
 
-// unreachable is the answer while nothing proves the owner dead. A refused
-// connection proves nothing: an earlier copy of the request may have got through,
-// and the owner may be about to listen again after a cut.
-func (f *Forwarder) unreachable(r Request, cause error) *fault.Fault {
+// ownerUnreachable returns the fault for an owner that can't be reached but may still be
+// running. Even a refused connection does not prove that the owner has ended: an earlier call
+// may have reached it, and it may be about to listen again after a network failure.
+func (f *Forwarder) ownerUnreachable(r Request, cause error) *fault.Fault {
 	event.Log(f.o.Log, event.JobUndecided, "job", r.ID, "owner", r.Owner.Addr.String(), "cause", cause.Error())
-	if f.o.Clock.Now().After(r.unknownFrom()) {
+	if f.o.Clock.Now().After(r.outcomeUnknownAfter()) {
 		f.o.Counters.OutcomeUnknown.Inc(1)
 		return fault.New(fault.OutcomeUnknown, "the owner could not be reached until past the deadline; tasks may have run")
 	}
@@ -212,7 +216,8 @@
 	return undecided
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -27,15 +27,15 @@
 	RunSpecs(t, "forward")
 }
 
-// scripted is an owner whose reply to each call is decided by the test.
-type scripted struct {
+// fakeOwner is an owner whose replies are defined by the test.
+type fakeOwner struct {
 	*httptest.Server
 	owner job.Owner
 	calls atomic.Int32
 }
 
-func newScripted(serve func(call int, s *scripted, w http.ResponseWriter, r *http.Request)) *scripted {
-	s := &scripted{}
+func newFakeOwner(serve func(call int, s *fakeOwner, w http.ResponseWriter, r *http.Request)) *fakeOwner {
+	s := &fakeOwner{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		serve(int(s.calls.Add(1)), s, w, r)
 	}))
@@ -44,16 +44,16 @@
 	return s
 }
 
-// answer replies as the owner does.
-func (s *scripted) answer(w http.ResponseWriter, status int, body string) {
+// reply writes a reply with the owner's incarnation.
+func (s *fakeOwner) reply(w http.ResponseWriter, status int, body string) {
 	w.Header().Set(forward.HeaderIncarnation, s.owner.Incarnation.String())
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, body)
 }
 
-// silent holds a call until its connection is closed, like a process that is
-// stopped or a path that lost track of the connection.
-func silent(r *http.Request) {
+// hang blocks a call until its connection is closed, as a stopped process or a network device
+// that has lost the state of the connection does.
+func hang(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
@@ -68,27 +68,27 @@
 		forwarder = forward.New(forward.Options{Log: logr.Discard(), Clock: now,
 			LongPollTimeout: 20 * time.Millisecond, ReplyGrace: 200 * time.Millisecond, RetryDelay: time.Millisecond})
 	})
-	post := func(s *scripted, wait time.Duration) (*forward.Reply, error) {
+	post := func(s *fakeOwner, wait time.Duration) (*forward.Reply, error) {
 		return forwarder.Do(context.Background(), forward.Request{Owner: s.owner, ID: "id", Deadline: deadline,
 			Method: http.MethodPost, Path: "/v1/jobs", Body: []byte("body"), Wait: wait, AcceptsWait: true})
 	}
-	verdict := func(err error) *fault.Fault {
+	faultOf := func(err error) *fault.Fault {
 		GinkgoHelper()
 		var f *fault.Fault
 		Expect(errors.As(err, &f)).To(BeTrue(), "%v", err)
-		Expect(f.NotRun).To(BeFalse(), "nothing that may have reached the owner is 'not run'")
+		Expect(f.NotRun).To(BeFalse(), "a request that may have reached the owner must not be reported as not run")
 		return f
 	}
 
-	It("sends the body once, then asks in slices until the owner has the answer", func() {
+	It("sends the body once, then polls until the owner has the answer", func() {
 		var methods []string
-		s := newScripted(func(call int, s *scripted, w http.ResponseWriter, r *http.Request) {
+		s := newFakeOwner(func(call int, s *fakeOwner, w http.ResponseWriter, r *http.Request) {
 			methods = append(methods, r.Method+" "+r.URL.String()+" "+r.Header.Get(forward.HeaderForwarded))
 			if call < 3 {
-				s.answer(w, http.StatusAccepted, "pending")
+				s.reply(w, http.StatusAccepted, "pending")
 				return
 			}
-			s.answer(w, http.StatusBadGateway, "final")
+			s.reply(w, http.StatusBadGateway, "final")
 		})
 		reply, err := post(s, time.Minute)
 		Expect(err).NotTo(HaveOccurred())
@@ -96,26 +96,26 @@
 		Expect(string(reply.Body)).To(Equal("final"))
 		Expect(methods).To(Equal([]string{"POST /v1/jobs?wait_ms=20 1", "GET /v1/jobs/id?wait_ms=20 1", "GET /v1/jobs/id?wait_ms=20 1"}))
 
-		pending, err := post(newScripted(func(_ int, s *scripted, w http.ResponseWriter, _ *http.Request) {
-			s.answer(w, http.StatusAccepted, "pending")
+		pending, err := post(newFakeOwner(func(_ int, s *fakeOwner, w http.ResponseWriter, _ *http.Request) {
+			s.reply(w, http.StatusAccepted, "pending")
 		}), 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(pending.Status).To(Equal(http.StatusAccepted))
 	})
 
-	// A device on the way forgets a connection in use; new ones work. The caller
-	// must get its answer after the silence and need not ask again.
-	It("leaves a silent connection for a new one", func() {
+	// Guards against a caller that has to retry because a network device has lost the state of
+	// a connection in use; new connections work.
+	It("replaces a silent connection by a new one", func() {
 		var addrs []string
-		s := newScripted(func(call int, s *scripted, w http.ResponseWriter, r *http.Request) {
+		s := newFakeOwner(func(call int, s *fakeOwner, w http.ResponseWriter, r *http.Request) {
 			addrs = append(addrs, r.RemoteAddr)
 			switch call {
 			case 1:
-				s.answer(w, http.StatusAccepted, "pending")
+				s.reply(w, http.StatusAccepted, "pending")
 			case 2:
-				silent(r)
+				hang(r)
 			default:
-				s.answer(w, http.StatusOK, "done")
+				s.reply(w, http.StatusOK, "done")
 			}
 		})
 		reply, err := post(s, time.Minute)
@@ -126,23 +126,23 @@
 		Expect(addrs[2]).NotTo(Equal(addrs[0]))
 	})
 
-	// The device forgets the idle connections as well. Tried one after the other, each
-	// would cost the caller another silence.
-	It("leaves all idle connections once one was silent", func() {
-		both := make(chan struct{})
-		var forgotten sync.Map
-		s := newScripted(func(call int, s *scripted, w http.ResponseWriter, r *http.Request) {
+	// The network device has lost the state of the idle connections too. If they were tried one
+	// after the other, each would delay the caller by another silence timeout.
+	It("closes all idle connections once one was silent", func() {
+		bothReceived := make(chan struct{})
+		var broken sync.Map
+		s := newFakeOwner(func(call int, s *fakeOwner, w http.ResponseWriter, r *http.Request) {
 			if call <= 2 {
-				forgotten.Store(r.RemoteAddr, true)
+				broken.Store(r.RemoteAddr, true)
 				if call == 2 {
-					close(both)
+					close(bothReceived)
 				}
-				<-both
-			} else if _, ok := forgotten.Load(r.RemoteAddr); ok {
-				silent(r)
+				<-bothReceived
+			} else if _, ok := broken.Load(r.RemoteAddr); ok {
+				hang(r)
 				return
 			}
-			s.answer(w, http.StatusOK, "done")
+			s.reply(w, http.StatusOK, "done")
 		})
 		var calls sync.WaitGroup
 		for range 2 {
@@ -155,11 +155,11 @@
 		Expect(s.calls.Load()).To(Equal(int32(4)))
 	})
 
-	// The owner is paused, cut off, or gone; nobody can tell which. It may have
-	// started the job, so neither "not run" nor a failure would be true for sure.
-	DescribeTable("is undecided while an unreachable owner may still answer, and unknown once it won't",
-		func(serve func(*scripted, http.ResponseWriter, *http.Request), closed bool) {
-			s := newScripted(func(_ int, s *scripted, w http.ResponseWriter, r *http.Request) { serve(s, w, r) })
+	// The owner is paused, disconnected or has ended, and these can't be told apart. It may have
+	// started the job, so both "not run" and a failure could be wrong.
+	DescribeTable("is undecided while an unreachable owner may still answer, and has an unknown outcome after that",
+		func(serve func(*fakeOwner, http.ResponseWriter, *http.Request), closed bool) {
+			s := newFakeOwner(func(_ int, s *fakeOwner, w http.ResponseWriter, r *http.Request) { serve(s, w, r) })
 			if closed {
 				s.Listener.Close()
 			}
@@ -167,45 +167,45 @@
 			for _, at := range []time.Duration{0, time.Minute, time.Minute + forward.MaxClockSkew, unknownFrom} {
 				now.Advance(deadline.Add(-time.Minute + at).Sub(now.Now()))
 				_, err := post(s, time.Minute)
-				undecided := verdict(err)
+				undecided := faultOf(err)
 				Expect(undecided.Code).To(Equal(fault.Undecided), "%s", at)
 				Expect(undecided.RetryAfterMs).To(BeNumerically(">", 0))
 			}
 			now.Advance(time.Millisecond)
 			_, err := post(s, time.Minute)
-			Expect(verdict(err).Code).To(Equal(fault.OutcomeUnknown))
+			Expect(faultOf(err).Code).To(Equal(fault.OutcomeUnknown))
 		},
-		Entry("when it is frozen", func(_ *scripted, _ http.ResponseWriter, r *http.Request) { silent(r) }, false),
+		Entry("when it is frozen", func(_ *fakeOwner, _ http.ResponseWriter, r *http.Request) { hang(r) }, false),
 		Entry("when it refuses connections", nil, true),
-		Entry("when the connection breaks in the reply", func(s *scripted, w http.ResponseWriter, _ *http.Request) {
+		Entry("when the connection breaks in the reply", func(s *fakeOwner, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "1000")
-			s.answer(w, http.StatusOK, "part")
+			s.reply(w, http.StatusOK, "part")
 			panic(http.ErrAbortHandler)
 		}, false),
-		Entry("when something that is no entry answers", func(_ *scripted, w http.ResponseWriter, _ *http.Request) {
+		Entry("when a process that is not an entry replies", func(_ *fakeOwner, w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusNotFound)
 		}, false),
 	)
 
-	// The owner's process was restarted. What it knew is lost, and its successor
-	// would take a resubmission for a new job: it must never be asked to.
-	It("reports the owner gone when another incarnation answers in its place", func() {
-		s := newScripted(func(_ int, _ *scripted, w http.ResponseWriter, _ *http.Request) {
+	// The owner's process was restarted and has lost its state. Its successor would accept a
+	// resubmission as a new job, so it must not get one.
+	It("reports the owner as gone when another incarnation replies from its address", func() {
+		s := newFakeOwner(func(_ int, _ *fakeOwner, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(forward.HeaderIncarnation, job.NewIncarnation().String())
 			_, _ = io.WriteString(w, `{"state":"complete"}`)
 		})
 		_, err := post(s, time.Minute)
-		Expect(verdict(err).Code).To(Equal(fault.OwnerGone))
+		Expect(faultOf(err).Code).To(Equal(fault.OwnerGone))
 		Expect(s.calls.Load()).To(Equal(int32(1)))
 	})
 
-	// Guards against a silent owner holding up the caller's final answer past the deadline,
-	// and against asking one whose clock is behind without a pause.
-	It("asks for a short wait past the deadline", func() {
+	// Guards against a silent owner that delays the caller's final answer past the deadline, and
+	// against polling an owner whose clock is behind in a busy loop.
+	It("requests a short wait past the deadline", func() {
 		var queries []string
-		s := newScripted(func(_ int, s *scripted, w http.ResponseWriter, r *http.Request) {
+		s := newFakeOwner(func(_ int, s *fakeOwner, w http.ResponseWriter, r *http.Request) {
 			queries = append(queries, r.URL.RawQuery)
-			s.answer(w, http.StatusOK, "done")
+			s.reply(w, http.StatusOK, "done")
 		})
 		forwarder = forward.New(forward.Options{Log: logr.Discard(), Clock: now})
 		for range 2 {
@@ -216,14 +216,14 @@
 		Expect(queries).To(Equal([]string{"wait_ms=500", "wait_ms=100"}))
 	})
 
-	It("ends with its caller", func() {
+	It("stops when its context is cancelled", func() {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := newScripted(func(_ int, _ *scripted, _ http.ResponseWriter, r *http.Request) {
+		s := newFakeOwner(func(_ int, _ *fakeOwner, _ http.ResponseWriter, r *http.Request) {
 			cancel()
-			silent(r)
+			hang(r)
 		})
 		_, err := forwarder.Do(ctx, forward.Request{Owner: s.owner, Deadline: deadline, Method: http.MethodGet, Path: "/"})
-		Expect(verdict(err).Code).To(Equal(fault.Undecided))
+		Expect(faultOf(err).Code).To(Equal(fault.Undecided))
 		Expect(s.calls.Load()).To(Equal(int32(1)))
 	})
 })
--- a/internal/forward/peer.go
+++ b/internal/forward/peer.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	// idlePerPeer lets a burst reuse connections: each waiting request takes one.
-	idlePerPeer = 256
-	idleTimeout = 30 * time.Second
-	// forgetPeer drops the connections of an entry that nobody named for so long;
-	// entries are replaced all the time and their addresses don't come back.
-	forgetPeer = 10 * time.Minute
-	// maxReplyBytes caps a reply; a larger one counts as lost.
+	// maxIdlePerPeer lets bursts reuse connections: each waiting request occupies one.
+	maxIdlePerPeer  = 256
+	idleConnTimeout = 30 * time.Second
+	// peerIdleTimeout is how long a peer is kept without requests to it. Entries are replaced
+	// frequently and their addresses are not reused.
+	peerIdleTimeout = 10 * time.Minute
+	// maxReplyBytes limits the size of a reply; a larger one counts as a failed call.
 	maxReplyBytes = 64 << 20
 )
 
 var (
-	// errAnotherIncarnation is a reply from the owner's address that another run of
-	// an entry gave.
-	errAnotherIncarnation = errors.New("another incarnation answers at the owner's address")
-	// errForeignReply is a reply that no entry gave.
-	errForeignReply = errors.New("the reply names no incarnation")
-	// errReplyTooLarge is a reply beyond maxReplyBytes.
-	errReplyTooLarge = errors.New("the reply is too large")
+	// errAnotherIncarnation is returned for a reply of another incarnation of an entry from
+	// the owner's address.
+	errAnotherIncarnation = errors.New("another incarnation replied from the owner's address")
+	// errNoIncarnation is returned for a reply that was not written by an entry.
+	errNoIncarnation = errors.New("reply has no valid incarnation header")
+	// errReplyTooLarge is returned for a reply larger than maxReplyBytes.
+	errReplyTooLarge = errors.New("reply exceeds the size limit")
 )
 
-// peers holds one peer per address, each with connections of its own: giving up
-// one owner's connections must not cost the others theirs.
+// peers holds one peer per address. Each has its own connection pool, so that closing the idle
+// connections to one owner does not affect those to others.
 type peers struct {
 	clock clock.Clock
 
@@ -52,13 +52,14 @@
 	return &peers{clock: c, byAddr: map[netip.AddrPort]*peer{}}
 }
 
+// get returns the peer at an address, and creates it if needed.
 func (ps *peers) get(addr netip.AddrPort) *peer {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	now := ps.clock.Now()
 	p, ok := ps.byAddr[addr]
 	if !ok {
-		ps.forget(now)
+		ps.evictUnused(now)
 		p = newPeer(addr)
 		ps.byAddr[addr] = p
 	}
@@ -66,16 +67,17 @@
 	return p
 }
 
-func (ps *peers) forget(now time.Time) {
+// evictUnused removes the peers that were not used for peerIdleTimeout. The caller holds the lock.
+func (ps *peers) evictUnused(now time.Time) {
 	for addr, p := range ps.byAddr {
-		if now.Sub(p.lastUsed) > forgetPeer {
+		if now.Sub(p.lastUsed) > peerIdleTimeout {
 			p.closeIdle()
 			delete(ps.byAddr, addr)
 		}
 	}
 }
 
-// peer is another entry.
+// peer is the HTTP client for one other entry.
 type peer struct {
 	addr     netip.AddrPort
 	lastUsed time.Time // guarded by peers.mu
@@ -85,24 +87,25 @@
 func newPeer(addr netip.AddrPort) *peer {
 	return &peer{addr: addr, client: &http.Client{
 		Transport: &http.Transport{
-			DialContext:         (&net.Dialer{}).DialContext, // bounded by the call's silence
-			MaxIdleConnsPerHost: idlePerPeer,
-			IdleConnTimeout:     idleTimeout,
+			DialContext:         (&net.Dialer{}).DialContext, // bounded by the watchdog of the call
+			MaxIdleConnsPerHost: maxIdlePerPeer,
+			IdleConnTimeout:     idleConnTimeout,
 			DisableCompression:  true,
 		},
-		// A redirect would lead to a process that the id does not name.
+		// A redirect would lead to a process that is not the owner.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
 func (p *peer) closeIdle() { p.client.CloseIdleConnections() }
 
-// call makes one request. It gives up, and closes the connection, when no byte
-// moved for as long as limit; a large body on a slow path may take longer.
-func (p *peer) call(ctx context.Context, r Request, wait, limit time.Duration) (*Reply, error) {
+// call sends one request and reads the reply. It closes the connection and fails with
+// silence.ErrSilent if no byte is transferred for silenceTimeout; the transfer of a large body
+// over a slow network may take longer in total.
+func (p *peer) call(ctx context.Context, r Request, wait, silenceTimeout time.Duration) (*Reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := silence.NewWatchdog(limit, cancel)
+	watch := silence.NewWatchdog(silenceTimeout, cancel)
 	defer watch.Stop()
 	request, err := p.request(ctx, r, wait, watch)
 	if err != nil {
@@ -110,16 +113,16 @@
 	}
 	response, err := p.client.Do(request)
 	if err != nil {
-		return nil, lost(ctx, err)
+		return nil, callError(ctx, err)
 	}
 	defer response.Body.Close()
 	if err := checkIncarnation(response, r); err != nil {
 		return nil, err
 	}
 	watch.RecordProgress()
-	body, err := io.ReadAll(io.LimitReader(&watchedReader{response.Body, watch}, maxReplyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(&progressReader{response.Body, watch}, maxReplyBytes+1))
 	if err != nil {
-		return nil, lost(ctx, err)
+		return nil, callError(ctx, err)
 	}
 	if len(body) > maxReplyBytes {
 		return nil, errReplyTooLarge
@@ -127,18 +130,18 @@
 	return &Reply{Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After"), Body: body}, nil
 }
 
-func (p *peer) request(ctx context.Context, r Request, wait time.Duration, w *silence.Watchdog) (*http.Request, error) {
-	target := url.URL{Scheme: "http", Host: p.addr.String(), Path: r.Path}
+func (p *peer) request(ctx context.Context, r Request, wait time.Duration, watch *silence.Watchdog) (*http.Request, error) {
+	requestURL := url.URL{Scheme: "http", Host: p.addr.String(), Path: r.Path}
 	if r.AcceptsWait {
-		target.RawQuery = waitQuery(wait)
+		requestURL.RawQuery = waitQuery(wait)
 	}
 	var body io.Reader
 	if r.Body != nil {
-		body = &watchedReader{bytes.NewReader(r.Body), w}
+		body = &progressReader{bytes.NewReader(r.Body), watch}
 	}
-	request, err := http.NewRequestWithContext(ctx, r.Method, target.String(), body)
+	request, err := http.NewRequestWithContext(ctx, r.Method, requestURL.String(), body)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the request to the owner")
+		return nil, errors.Wrap(err, "create the request to the owner")
 	}
 	request.Header.Set(HeaderForwarded, "1")
 	if r.Withheld {
@@ -151,34 +154,37 @@
 	return request, nil
 }
 
-// checkIncarnation tells the owner's own replies from those of others. A reply
-// that names no incarnation comes from no entry and proves nothing.
+// checkIncarnation returns nil if the owner wrote the reply and errAnotherIncarnation if another
+// incarnation of an entry did. A reply without a valid incarnation was not written by an entry
+// and does not prove that the owner has ended; the error is then errNoIncarnation.
 func checkIncarnation(response *http.Response, r Request) error {
-	text := response.Header.Get(HeaderIncarnation)
-	if text == r.Owner.Incarnation.String() {
+	header := response.Header.Get(HeaderIncarnation)
+	if header == r.Owner.Incarnation.String() {
 		return nil
 	}
-	n, err := strconv.ParseUint(text, 16, 64)
-	if err != nil || len(text) != 16 || n == 0 {
-		return errForeignReply
+	n, err := strconv.ParseUint(header, 16, 64)
+	if err != nil || len(header) != 16 || n == 0 {
+		return errNoIncarnation
 	}
 	return errAnotherIncarnation
 }
 
-func lost(ctx context.Context, err error) error {
+// callError returns the error of a failed call, silence.ErrSilent if the watchdog cancelled it.
+func callError(ctx context.Context, err error) error {
 	if errors.Is(context.Cause(ctx), silence.ErrSilent) {
 		return silence.ErrSilent
 	}
 	return errors.Wrap(err, "call the owner")
 }
 
-type watchedReader struct {
+// progressReader reports each read of data to the watchdog of a call.
+type progressReader struct {
 	io.Reader
 	watch *silence.Watchdog
 }
 
 // Read implements io.Reader.
-func (r *watchedReader) Read(b []byte) (int, error) {
+func (r *progressReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	if n > 0 {
 		r.watch.RecordProgress()
