--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -16,37 +16,37 @@
 	"github.com/camphorrack/camphorrack/internal/silence"
 )
 
-// maxReplyBytes caps a reply; a larger one counts as lost.
+// maxReplyBytes limits the size of a reply; a larger one counts as a failed call.
 const maxReplyBytes = 64 << 20
 
-// errReplyTooLarge is a reply beyond maxReplyBytes.
+// errReplyTooLarge is returned for a reply larger than maxReplyBytes.
 var errReplyTooLarge = errors.New("the reply is too large")
 
 // call is one HTTP request to one entry.
 type call struct {
 	method, path string
-	wait         time.Duration // how long the entry may hold the answer back; 0: not at all
-	waits        bool          // whether the path takes wait_ms
+	wait         time.Duration // how long the entry may wait for the answer before it replies; 0: not at all
+	acceptsWait  bool          // whether the path accepts the query parameter wait_ms
 	body         []byte
 }
 
-// reply is what came back, whole.
+// reply is a complete HTTP response of an entry.
 type reply struct {
 	status int
 	body   []byte
 }
 
-// send sends the call to one entry. The error is a *TransportError.
+// send sends the call to one entry and reads the reply. The error is a *TransportError.
 func (c *Client) send(ctx context.Context, entry string, k call) (*reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watch := silence.NewWatchdog(k.wait+c.options.CallTimeout, cancel)
 	defer watch.Stop()
-	target := url.URL{Scheme: "http", Host: entry, Path: k.path}
-	if k.waits {
-		target.RawQuery = "wait_ms=" + strconv.FormatInt(k.wait.Milliseconds(), 10)
+	requestURL := url.URL{Scheme: "http", Host: entry, Path: k.path}
+	if k.acceptsWait {
+		requestURL.RawQuery = "wait_ms=" + strconv.FormatInt(k.wait.Milliseconds(), 10)
 	}
-	request, err := http.NewRequestWithContext(ctx, k.method, target.String(), bytes.NewReader(k.body))
+	request, err := http.NewRequestWithContext(ctx, k.method, requestURL.String(), bytes.NewReader(k.body))
 	if err != nil {
 		return nil, &TransportError{Entry: entry, Cause: err}
 	}
@@ -55,24 +55,26 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, lost(ctx, entry, err)
+		return nil, newTransportError(ctx, entry, err)
 	}
 	defer response.Body.Close()
 	return readReply(ctx, entry, response)
 }
 
-// lost returns the error of a call that brought no whole reply.
-func lost(ctx context.Context, entry string, err error) *TransportError {
+// newTransportError returns the error of a call without a complete reply. Its cause is
+// silence.ErrSilent if the watchdog cancelled the call.
+func newTransportError(ctx context.Context, entry string, err error) *TransportError {
 	if errors.Is(context.Cause(ctx), silence.ErrSilent) {
 		err = silence.ErrSilent
 	}
 	return &TransportError{Entry: entry, Cause: err}
 }
 
+// readReply reads the body of a response. The error is a *TransportError.
 func readReply(ctx context.Context, entry string, response *http.Response) (*reply, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	if err != nil {
-		return nil, lost(ctx, entry, err)
+		return nil, newTransportError(ctx, entry, err)
 	}
 	if len(body) > maxReplyBytes {
 		return nil, &TransportError{Entry: entry, Cause: errReplyTooLarge}
@@ -80,11 +82,12 @@
 	return &reply{status: response.StatusCode, body: body}, nil
 }
 
-// ok reports whether the entry did what was asked.
-func (r *reply) ok() bool { return r.status >= 200 && r.status < 300 }
+// isSuccess reports whether the HTTP status is 2xx.
+func (r *reply) isSuccess() bool { return r.status >= 200 && r.status < 300 }
 
-// fault reads the fault of a reply that is not ok.
-func (r *reply) fault() *fault.Fault {
+// parseFault returns the fault in an unsuccessful reply, or one of code Undecided if the body
+// contains none.
+func (r *reply) parseFault() *fault.Fault {
 	var answer struct {
 		Failure *fault.Fault `json:"failure"`
 		fault.Fault
@@ -100,50 +103,52 @@
 	return fault.Newf(fault.Undecided, "HTTP status %d with no fault in it", r.status)
 }
 
-// each sends the call to one entry after the other until one serves it, round after
-// round for as long as Options.RetryTimeout. The error is the last *TransportError.
-func (c *Client) each(ctx context.Context, k call) (*reply, error) {
-	until := time.Now().Add(c.options.RetryTimeout)
-	pauses := newPauses()
+// sendWithRetry sends the call to one entry after the other until one serves it, and starts over
+// with a back-off until Options.RetryTimeout is over. The error is the last *TransportError.
+func (c *Client) sendWithRetry(ctx context.Context, k call) (*reply, error) {
+	deadline := time.Now().Add(c.options.RetryTimeout)
+	backOff := newBackOff()
 	for {
-		r, err := c.round(ctx, k)
-		if err == nil && !r.elsewhere() || ctx.Err() != nil || time.Now().After(until) {
+		r, err := c.tryEntries(ctx, k)
+		if err == nil && !r.isEntryUnavailable() || ctx.Err() != nil || time.Now().After(deadline) {
 			return r, err
 		}
-		sleep(ctx, pauses.NextBackOff())
+		sleep(ctx, backOff.NextBackOff())
 	}
 }
 
-// round sends the call to each entry once, until one serves it.
-func (c *Client) round(ctx context.Context, k call) (last *reply, err error) {
+// tryEntries sends the call to one entry after the other, to each at most once, until one serves
+// it.
+func (c *Client) tryEntries(ctx context.Context, k call) (last *reply, err error) {
 	for range c.options.Entries {
-		at, entry := c.entry()
+		index, entry := c.currentEntry()
 		last, err = c.send(ctx, entry, k)
-		if err == nil && !last.elsewhere() || ctx.Err() != nil {
+		if err == nil && !last.isEntryUnavailable() || ctx.Err() != nil {
 			break
 		}
-		c.leave(at)
+		c.advanceFrom(index)
 	}
 	return last, err
 }
 
-// elsewhere reports whether the entry takes no work and another one may.
-func (r *reply) elsewhere() bool {
+// isEntryUnavailable reports whether the entry accepts no work, while another one may.
+func (r *reply) isEntryUnavailable() bool {
 	if r.status != http.StatusServiceUnavailable {
 		return false
 	}
-	code := r.fault().Code
+	code := r.parseFault().Code
 	return code == fault.Draining || code == fault.NoConfiguration
 }
 
-// get calls a path that waits for nothing and decodes what it returns into v.
-func (c *Client) get(ctx context.Context, method, path string, body []byte, v any) error {
-	r, err := c.each(ctx, call{method: method, path: path, body: body})
+// callJSON calls a path that does not wait for an answer and decodes the reply into v, unless v
+// is nil.
+func (c *Client) callJSON(ctx context.Context, method, path string, body []byte, v any) error {
+	r, err := c.sendWithRetry(ctx, call{method: method, path: path, body: body})
 	if err != nil {
 		return err
 	}
-	if !r.ok() {
-		return r.fault()
+	if !r.isSuccess() {
+		return r.parseFault()
 	}
 	if v == nil {
 		return nil
--- a/internal/client/cancel.go
+++ b/internal/client/cancel.go
@@ -10,25 +10,26 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// MaxCancelIDs is how many ids one cancel call takes.
+// MaxCancelIDs is the largest number of ids in one cancel call.
 const MaxCancelIDs = 500
 
-// Cancelled is what became of the cancelling of one id. Failure is nil where the
-// job was told to stop or had ended.
+// Cancelled is the result of cancelling one id. Failure is nil if the job is being cancelled or
+// had already ended.
 type Cancelled struct {
 	ID      string       `json:"id"`
 	Failure *fault.Fault `json:"failure,omitempty"`
 }
 
-// Cancel cancels submissions, in calls of at most MaxCancelIDs each, and returns
-// one result per id that was reached. The answers themselves are learned with
-// Await: a job that completes first stays complete. Cancelling again is harmless.
+// Cancel cancels submissions, in calls of at most MaxCancelIDs ids each, and returns one result
+// per id. If a call fails, it returns the error and the results of the calls before it. Await
+// returns the final answers: a job that completes before it is cancelled stays complete.
+// Cancelling is idempotent.
 func (c *Client) Cancel(ctx context.Context, ids []string) ([]Cancelled, error) {
 	var all []Cancelled
 	for len(ids) > 0 {
-		wave := ids[:min(len(ids), MaxCancelIDs)]
-		ids = ids[len(wave):]
-		results, err := c.cancelWave(ctx, wave)
+		batch := ids[:min(len(ids), MaxCancelIDs)]
+		ids = ids[len(batch):]
+		results, err := c.cancelBatch(ctx, batch)
 		if err != nil {
 			return all, err
 		}
@@ -37,7 +38,7 @@
 	return all, nil
 }
 
-func (c *Client) cancelWave(ctx context.Context, ids []string) ([]Cancelled, error) {
+func (c *Client) cancelBatch(ctx context.Context, ids []string) ([]Cancelled, error) {
 	request := struct {
 		IDs []string `json:"ids"`
 	}{ids}
@@ -48,7 +49,7 @@
 	var answer struct {
 		Results []Cancelled `json:"results"`
 	}
-	if err := c.get(ctx, http.MethodPost, "/v1/cancel", encoded, &answer); err != nil {
+	if err := c.callJSON(ctx, http.MethodPost, "/v1/cancel", encoded, &answer); err != nil {
 		return nil, err
 	}
 	return answer.Results, nil
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,12 +1,12 @@
-// Package client is a caller's side of the entries' HTTP API. A submission has an
-// id before it is sent, and is sent again under that id, through another entry,
-// when a connection is lost: the id lets only one process start it, so sending it
-// again never runs anything twice.
+// Package client is the client of the entries' HTTP API. A submission gets its id before it is
+// sent. If the connection is lost, it is sent again with the same id through another entry.
+// This never runs a task twice, because only the process encoded in the id may start the
+// submission.
 //
-// Every call ends in one of four ways, told apart by type: a complete answer, a
-// failed one (job.Failed), a refusal of which nothing ran (job.Refused or a
-// *fault.Fault with NotRun), or *UndecidedError, which means that the outcome
-// could not be learned yet and the id can be asked for again.
+// Every submission ends in one of four ways, distinguished by type: a complete answer, a failed
+// one (job.Failed), a refusal of which nothing ran (job.Refused, or a *fault.Fault with NotRun),
+// or an *UndecidedError, which means that the outcome is not known yet and can be queried again
+// with the id.
 package client
 
 import (
@@ -22,33 +22,32 @@
 
 // Defaults of Options.
 const (
-	// DefaultCallTimeout bounds a call that waits for nothing. A connection
-	// that went silent for good is given up after it and another entry is used.
+	// DefaultCallTimeout limits a call without a wait. A connection that is silent for longer
+	// is closed and another entry is used.
 	DefaultCallTimeout = 2 * time.Second
-	// DefaultLongPollTimeout is how long one call waits for an answer. A caller that
-	// waited for the whole deadline on one call would notice a silent
-	// connection only then. Most tasks end within a second and so within the
-	// first call; a longer job costs one look-up a second.
+	// DefaultLongPollTimeout is how long one call waits for an answer. A call that waited until
+	// the deadline would only then detect a silent connection. Most tasks end within a second
+	// and so within the first call; a longer job costs one look-up per second.
 	DefaultLongPollTimeout = time.Second
-	// DefaultHedgeDelay is how much longer than its wait an entry may be silent before the
-	// next one is asked beside it. Both ways lead to the same owner, so a second call costs
-	// little; a caller that waited for CallTimeout would learn of a frozen entry too late
-	// for its deadline.
+	// DefaultHedgeDelay is how long an entry may be silent beyond the wait of a call before a
+	// hedged call is sent to the next entry. Both calls reach the same owner, so the second
+	// one costs little; a caller that waited for CallTimeout would detect a frozen entry too
+	// late for its deadline.
 	DefaultHedgeDelay = 500 * time.Millisecond
-	// DefaultRetryTimeout is how long calls that any entry can answer are tried again. It
-	// outlasts a restart of an entry and a pause of some seconds.
+	// DefaultRetryTimeout is how long calls that any entry can answer are retried. It is longer
+	// than a restart of an entry and than a pause of some seconds.
 	DefaultRetryTimeout = 10 * time.Second
 
-	dialTimeout  = time.Second
-	idlePerEntry = 512 // so that a burst of calls reuses connections
-	// idleTimeout drops idle connections before a device on the way forgets them.
-	idleTimeout = 30 * time.Second
+	dialTimeout     = time.Second
+	maxIdlePerEntry = 512 // so that a burst of calls reuses connections
+	// idleConnTimeout closes idle connections before network devices drop their state.
+	idleConnTimeout = 30 * time.Second
 )
 
-// Options of a Client.
+// Options configure a Client. A zero duration is replaced by its default.
 type Options struct {
-	// Entries are the addresses of entries or of a balancer, host:port, in the
-	// order in which they are tried.
+	// Entries are the addresses (host:port) of entries or of a balancer, in the order in which
+	// they are tried.
 	Entries         []string
 	CallTimeout     time.Duration
 	LongPollTimeout time.Duration
@@ -56,15 +55,17 @@
 	RetryTimeout    time.Duration
 }
 
-// Client calls entries. It is safe for concurrent use.
+// Client calls the HTTP API of entries. It is safe for concurrent use.
 type Client struct {
 	options Options
 	http    *http.Client
-	// current is the index of the entry in use; a lost connection moves it on.
+	// current is the index of the entry in use, modulo the number of entries. It is incremented
+	// when that entry fails.
 	current atomic.Uint32
 }
 
-// New returns a client. The error is a *fault.Fault about the entries.
+// New returns a client. The error is a *fault.Fault if Entries is empty or contains an invalid
+// address.
 func New(o Options) (*Client, error) {
 	if len(o.Entries) == 0 {
 		return nil, fault.Input(fault.BadSetting, "entry", "no address of an entry")
@@ -79,7 +80,7 @@
 	setDefault(&o.HedgeDelay, DefaultHedgeDelay)
 	setDefault(&o.RetryTimeout, DefaultRetryTimeout)
 	transport := &http.Transport{
-		DialContext: silence.Dialer(dialTimeout), MaxIdleConnsPerHost: idlePerEntry, IdleConnTimeout: idleTimeout,
+		DialContext: silence.Dialer(dialTimeout), MaxIdleConnsPerHost: maxIdlePerEntry, IdleConnTimeout: idleConnTimeout,
 	}
 	return &Client{options: o, http: &http.Client{Transport: transport}}, nil
 }
@@ -90,7 +91,7 @@
 	}
 }
 
-// SplitAddrs splits a comma separated list of addresses.
+// SplitAddrs splits a comma-separated list of addresses. Empty elements are dropped.
 func SplitAddrs(list string) []string {
 	var addrs []string
 	for _, addr := range strings.Split(list, ",") {
@@ -104,12 +105,16 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func (c *Client) entry() (uint32, string) {
-	at := c.current.Load()
-	return at, c.addr(at)
+// currentEntry returns the index and the address of the entry in use.
+func (c *Client) currentEntry() (uint32, string) {
+	index := c.current.Load()
+	return index, c.entryAddr(index)
 }
 
-func (c *Client) addr(at uint32) string { return c.options.Entries[at%uint32(len(c.options.Entries))] }
+func (c *Client) entryAddr(index uint32) string {
+	return c.options.Entries[index%uint32(len(c.options.Entries))]
+}
 
-// leave moves on from the entry at index from, unless another call already did.
-func (c *Client) leave(from uint32) { c.current.CompareAndSwap(from, from+1) }
+// advanceFrom makes the next entry the one in use, unless another call has already replaced the
+// one at index from.
+func (c *Client) advanceFrom(from uint32) { c.current.CompareAndSwap(from, from+1) }
--- a/internal/client/config.go
+++ b/internal/client/config.go
@@ -11,24 +11,25 @@
 	"github.com/camphorrack/camphorrack/internal/config"
 )
 
-// Config returns the configuration in force at the daemon.
+// Config returns the configuration in force at the daemon in use.
 func (c *Client) Config(ctx context.Context) (*config.State, error) {
-	return c.config(ctx, http.MethodGet, config.Path)
+	return c.fetchConfig(ctx, http.MethodGet, config.Path)
 }
 
-// RefreshConfig has an entry read the log now and returns what is in force there
-// once the version is, or after a while.
+// RefreshConfig makes the entry in use read the log now. It returns the configuration in force
+// there once that has reached the version, or an older one after a time limit of the entry.
 func (c *Client) RefreshConfig(ctx context.Context, version uint64) (*config.State, error) {
-	return c.config(ctx, http.MethodPost, config.Path+"/"+strconv.FormatUint(version, 10))
+	return c.fetchConfig(ctx, http.MethodPost, config.Path+"/"+strconv.FormatUint(version, 10))
 }
 
-func (c *Client) config(ctx context.Context, method, path string) (*config.State, error) {
-	page, err := c.page(ctx, method, path)
+// fetchConfig calls a path of the configuration API and decodes the state in the reply.
+func (c *Client) fetchConfig(ctx context.Context, method, path string) (*config.State, error) {
+	raw, err := c.callCurrent(ctx, method, path)
 	if err != nil {
 		return nil, err
 	}
 	var body config.Report
-	if err := json.Unmarshal(page, &body); err != nil {
+	if err := json.Unmarshal(raw, &body); err != nil {
 		return nil, errors.Wrap(err, "reply to "+config.Path)
 	}
 	if body.State == nil {
--- a/internal/client/errors.go
+++ b/internal/client/errors.go
@@ -8,8 +8,8 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// TransportError is a call whose answer did not arrive whole. The entry may have acted
-// on it.
+// TransportError is a call to an entry without a complete reply. The entry may have processed
+// the call.
 type TransportError struct {
 	Entry string
 	Cause error
@@ -21,11 +21,11 @@
 // Unwrap returns the cause.
 func (e *TransportError) Unwrap() error { return e.Cause }
 
-// UndecidedError is a submission whose final answer could not be learned in time.
-// It may have run or may still run; the same id may be asked for or sent again.
+// UndecidedError is a submission whose final answer is not known. It may have run or may still
+// run; it may be queried or sent again with the same id.
 type UndecidedError struct {
 	ID      string
-	LastErr error // what stood in the way last; nil where the job was merely pending
+	LastErr error // error of the last call; nil if the job was pending
 }
 
 // Error implements error.
@@ -36,11 +36,11 @@
 	return "undecided: " + e.ID + ": " + e.LastErr.Error()
 }
 
-// Unwrap returns what stood in the way last.
+// Unwrap returns the error of the last call.
 func (e *UndecidedError) Unwrap() error { return e.LastErr }
 
-// MismatchedAnswerError is an answer to another id than the one asked for. A caller
-// must never use it as its own.
+// MismatchedAnswerError is an answer with another id than the requested one. A caller must not
+// use it as its own.
 type MismatchedAnswerError struct {
 	RequestedID, ReceivedID string
 }
@@ -50,7 +50,8 @@
 	return fmt.Sprintf("asked for %s and got the answer to %s", e.RequestedID, e.ReceivedID)
 }
 
-// FaultOf returns the fault in err, or one that says what err means to a caller.
+// FaultOf returns the fault in err. For an *UndecidedError and for an error without a fault it
+// returns one of code Undecided with the text of err.
 func FaultOf(err error) *fault.Fault {
 	var undecided *UndecidedError
 	if errors.As(err, &undecided) {
--- a/internal/client/hedge.go
+++ b/internal/client/hedge.go
@@ -6,47 +6,47 @@
 	"github.com/camphorrack/camphorrack/internal/silence"
 )
 
-// response is how a call to one entry ended.
-type response struct {
-	at    uint32 // index of the entry
+// outcome is the result of a call to one entry.
+type outcome struct {
+	index uint32 // of the entry
 	reply *reply
 	err   error
 }
 
-// hedged sends the call to the entry in use. Where that one stays silent for
-// Options.HedgeDelay beyond its wait, the next one is asked beside it, and the first
-// reply counts. Only calls that may be made twice are hedged. It returns the index of the
-// entry that replied; the error is a *TransportError, then with the index of the first.
-func (c *Client) hedged(ctx context.Context, k call) (uint32, *reply, error) {
-	ctx, cancel := context.WithCancel(ctx) // ends the call that came second
+// sendHedged sends the call to the entry in use. If that entry is silent for Options.HedgeDelay
+// beyond the wait of the call, the call is also sent to the next entry, and the first reply is
+// used. The call must be idempotent. It returns the index of the entry that replied, or a
+// *TransportError and the index of the first entry.
+func (c *Client) sendHedged(ctx context.Context, k call) (uint32, *reply, error) {
+	ctx, cancel := context.WithCancel(ctx) // cancels the slower call
 	defer cancel()
-	first, _ := c.entry()
-	responses := make(chan response, 2)
-	ask := func(at uint32) {
-		r, err := c.send(ctx, c.addr(at), k)
-		responses <- response{at, r, err}
+	first, _ := c.currentEntry()
+	outcomes := make(chan outcome, 2)
+	send := func(index uint32) {
+		r, err := c.send(ctx, c.entryAddr(index), k)
+		outcomes <- outcome{index, r, err}
 	}
-	go ask(first)
+	go send(first)
 	silent := make(chan struct{}, 1)
 	watch := silence.NewWatchdog(k.wait+c.options.HedgeDelay, func(error) { silent <- struct{}{} })
 	defer watch.Stop()
-	for open := 1; ; {
+	for pending := 1; ; {
 		select {
 		case <-silent:
 			if len(c.options.Entries) > 1 {
-				open++
-				go ask(first + 1)
+				pending++
+				go send(first + 1)
 			}
-		case got := <-responses:
-			open--
-			if got.err == nil && got.at != first {
-				c.leave(first)
+		case out := <-outcomes:
+			pending--
+			if out.err == nil && out.index != first {
+				c.advanceFrom(first)
 			}
-			if got.err == nil {
-				return got.at, got.reply, nil
+			if out.err == nil {
+				return out.index, out.reply, nil
 			}
-			if open == 0 {
-				return first, nil, got.err
+			if pending == 0 {
+				return first, nil, out.err
 			}
 		}
 	}
--- a/internal/client/submit.go
+++ b/internal/client/submit.go
@@ -13,38 +13,37 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// Pauses between tries after a lost connection. The first is short because
-// another entry is tried at once; the last keeps callers whose entries are all
-// gone from pressing on those that come up.
+// Delays between attempts after a failed call. The initial one is short because the next
+// attempt uses another entry. The maximum limits the load on entries that start again after
+// all entries have failed.
 const (
-	firstPause = 20 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
+	initialRetryDelay = 20 * time.Millisecond
+	maxRetryDelay     = 500 * time.Millisecond
 )
 
-// body is a submission as the API takes it.
+// body is the JSON body of a submission.
 type body struct {
 	ID string `json:"id"`
 	*job.Submission
 }
 
-// poller follows one submission until its answer is final.
+// poller sends or looks up one submission until its answer is final.
 type poller struct {
 	client *Client
 	id     string
 	path   string
-	body   []byte // nil: only looked up, never sent
-	// accepted says that an entry answered "pending": from then on the job is
-	// looked up and its body stays at home.
+	body   []byte // nil: the submission is only looked up
+	// accepted is set when an entry replies that the job is pending, and reset by a transport
+	// error. While it is set, the job is looked up and the body is not sent again.
 	accepted bool
-	pauses   *backoff.ExponentialBackOff
-	last     error
+	backOff  *backoff.ExponentialBackOff
+	lastErr  error
 }
 
-// Submit sends a submission under the id and waits for its final answer, which is
-// complete, failed or refused. On a lost connection it sends the same id again
-// through another entry. The error is a *fault.Fault where the entries turned the
-// request itself down, an *UndecidedError where ctx ended first, or a
-// *MismatchedAnswerError.
+// Submit sends a submission with the id and waits for its final answer, which is complete,
+// failed or refused. If a call fails, it sends the submission again with the same id through
+// another entry. The error is a *fault.Fault if an entry rejected the request itself, an
+// *UndecidedError if ctx ended first, or a *MismatchedAnswerError.
 func (c *Client) Submit(ctx context.Context, id string, s *job.Submission) (*job.Answer, error) {
 	encoded, err := json.Marshal(body{ID: id, Submission: s})
 	if err != nil {
@@ -57,39 +56,39 @@
 	return newPoller(c, id, path, encoded).run(ctx)
 }
 
-// Await waits for the final answer to a submission that was sent before. Errors
-// are those of Submit; a *fault.Fault of code NotFound says that the owner never
-// accepted the id.
+// Await waits for the final answer to a submission that was sent before. The errors are those of
+// Submit; a *fault.Fault of code NotFound means that the owner has not accepted the id.
 func (c *Client) Await(ctx context.Context, id string) (*job.Answer, error) {
 	return newPoller(c, id, "", nil).run(ctx)
 }
 
-// Lookup returns how a submission stands now; the answer may be job.Pending.
+// Lookup returns the current answer to a submission without waiting; its state may be
+// job.Pending. Errors are those of Await.
 func (c *Client) Lookup(ctx context.Context, id string) (*job.Answer, error) {
-	r, err := c.each(ctx, call{method: http.MethodGet, path: jobPath(id), waits: true})
+	r, err := c.sendWithRetry(ctx, call{method: http.MethodGet, path: jobPath(id), acceptsWait: true})
 	if err != nil {
 		return nil, &UndecidedError{ID: id, LastErr: err}
 	}
-	return r.answer(id)
+	return r.parseAnswer(id)
 }
 
 func jobPath(id string) string { return "/v1/jobs/" + id }
 
 func newPoller(c *Client, id, path string, encoded []byte) *poller {
-	return &poller{client: c, id: id, path: path, body: encoded, pauses: newPauses()}
+	return &poller{client: c, id: id, path: path, body: encoded, backOff: newBackOff()}
 }
 
-func newPauses() *backoff.ExponentialBackOff {
+func newBackOff() *backoff.ExponentialBackOff {
 	return backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(firstPause),
-		backoff.WithMaxInterval(lastPause),
+		backoff.WithInitialInterval(initialRetryDelay),
+		backoff.WithMaxInterval(maxRetryDelay),
 		backoff.WithMaxElapsedTime(0),
 	)
 }
 
 func (p *poller) run(ctx context.Context) (*job.Answer, error) {
 	for ctx.Err() == nil {
-		answer, pause, err := p.try(ctx)
+		answer, pause, err := p.attempt(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -98,27 +97,27 @@
 		}
 		sleep(ctx, pause)
 	}
-	return nil, &UndecidedError{ID: p.id, LastErr: p.last}
+	return nil, &UndecidedError{ID: p.id, LastErr: p.lastErr}
 }
 
-// try makes one call. It returns a final answer, or an error that ends the
-// polling, or how long to pause before the next call.
-func (p *poller) try(ctx context.Context) (*job.Answer, time.Duration, error) {
-	at, r, err := p.client.hedged(ctx, p.call())
+// attempt makes one call. It returns a final answer, an error that ends the polling, or the
+// delay before the next call.
+func (p *poller) attempt(ctx context.Context) (*job.Answer, time.Duration, error) {
+	index, r, err := p.client.sendHedged(ctx, p.nextCall())
 	if err != nil {
-		p.last = err
+		p.lastErr = err
 		p.accepted = false
 		if ctx.Err() == nil {
-			p.client.leave(at)
+			p.client.advanceFrom(index)
 		}
-		return nil, p.pauses.NextBackOff(), nil
+		return nil, p.backOff.NextBackOff(), nil
 	}
-	answer, err := r.answer(p.id)
+	answer, err := r.parseAnswer(p.id)
 	if err != nil {
-		return p.afterFault(at, err)
+		return p.handleFault(index, err)
 	}
-	p.last = nil
-	p.pauses.Reset()
+	p.lastErr = nil
+	p.backOff.Reset()
 	if !answer.Final() {
 		p.accepted = true
 		return nil, 0, nil
@@ -126,33 +125,37 @@
 	return answer, 0, nil
 }
 
-func (p *poller) call() call {
+// nextCall returns the call that sends the submission, or the one that looks it up.
+func (p *poller) nextCall() call {
 	wait := p.client.options.LongPollTimeout
 	if p.body == nil || p.accepted {
-		return call{method: http.MethodGet, path: jobPath(p.id), wait: wait, waits: true}
+		return call{method: http.MethodGet, path: jobPath(p.id), wait: wait, acceptsWait: true}
 	}
-	return call{method: http.MethodPost, path: p.path, wait: wait, waits: true, body: p.body}
+	return call{method: http.MethodPost, path: p.path, wait: wait, acceptsWait: true, body: p.body}
 }
 
-// afterFault goes on after "undecided" and ends the polling on any other fault.
-func (p *poller) afterFault(at uint32, err error) (*job.Answer, time.Duration, error) {
+// handleFault returns any error but an undecided fault, which ends the polling. After an undecided
+// fault it returns the delay before the next call, which goes to the next entry. The delay is that
+// of the fault if it has one.
+func (p *poller) handleFault(index uint32, err error) (*job.Answer, time.Duration, error) {
 	if !errors.Is(err, &fault.Fault{Code: fault.Undecided}) {
 		return nil, 0, err
 	}
-	p.last = err
-	p.client.leave(at)
-	pause := p.pauses.NextBackOff()
-	if after := time.Duration(FaultOf(err).RetryAfterMs) * time.Millisecond; after > 0 {
-		pause = after
+	p.lastErr = err
+	p.client.advanceFrom(index)
+	pause := p.backOff.NextBackOff()
+	if retryAfter := time.Duration(FaultOf(err).RetryAfterMs) * time.Millisecond; retryAfter > 0 {
+		pause = retryAfter
 	}
 	return nil, pause, nil
 }
 
-// answer reads an answer to the id. A reply without one is a *fault.Fault.
-func (r *reply) answer(id string) (*job.Answer, error) {
+// parseAnswer decodes the answer to the id. The error is the *fault.Fault of a reply without an
+// answer, or a *MismatchedAnswerError.
+func (r *reply) parseAnswer(id string) (*job.Answer, error) {
 	var answer job.Answer
 	if err := json.Unmarshal(r.body, &answer); err != nil || answer.State == "" {
-		return nil, r.fault()
+		return nil, r.parseFault()
 	}
 	if answer.ID != "" && answer.ID != id {
 		return nil, &MismatchedAnswerError{RequestedID: id, ReceivedID: answer.ID}
@@ -161,6 +164,7 @@
 	return &answer, nil
 }
 
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
