--- a/internal/client/submit.go
+++ b/internal/client/submit.go
@@ -88,14 +88,14 @@
 
 func (p *poller) run(ctx context.Context) (*job.Answer, error) {
 	for ctx.Err() == nil {
-		answer, pause, err := p.attempt(ctx)
+		answer, delay, err := p.attempt(ctx)
 		if err != nil {
 			return nil, err
 		}
 		if answer != nil {
 			return answer, nil
 		}
-		sleep(ctx, pause)
+		sleep(ctx, delay)
 	}
 	return nil, &UndecidedError{ID: p.id, LastErr: p.lastErr}
 }
@@ -143,11 +143,11 @@
 	}
 	p.lastErr = err
 	p.client.advanceFrom(index)
-	pause := p.backOff.NextBackOff()
+	delay := p.backOff.NextBackOff()
 	if retryAfter := time.Duration(FaultOf(err).RetryAfterMs) * time.Millisecond; retryAfter > 0 {
-		pause = retryAfter
+		delay = retryAfter
 	}
-	return nil, pause, nil
+	return nil, delay, nil
 }
 
 // parseAnswer decodes the answer to the id. The error is the *fault.Fault of a reply without an
