--- a/internal/dispatcher/answer.go
+++ b/internal/dispatcher/answer.go
@@ -94,4 +94,5 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
+// errNoConn is returned for a request that was not served over TCP.
 var errNoConn = errors.New("the request has no connection")
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -167,6 +167,7 @@
 	}
 }
 
+// configVersion returns the version of the configuration in force, or 0 if there is none yet.
 func (d *Dispatcher) configVersion() uint64 {
 	if table := d.routes.Load(); table != nil {
 		return table.Version
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -98,6 +98,7 @@
 	})
 }
 
+// handleConfigNote merges a runner's note on the configuration and logs an invalid one.
 func (r *runnerSession) handleConfigNote(now time.Time, s *state, note *wire.ConfigNote) {
 	if err := s.config.HandleNote(now, confsync.PeerID(r.id), note); err != nil {
 		event.Log(r.log, event.ConfigBad, "conn", uint64(r.id), "error", err.Error())
@@ -127,8 +128,8 @@
 	})
 }
 
-// addEntries adds dispatchers that a runner has reported, and marks those that are new or
-// whose data centre has changed for announcement. A runner that the store rejects can only
+// addEntries adds the dispatchers that a runner has reported. Those that are new or whose data
+// centre has changed are announced on the next tick. A runner that the store rejects can only
 // find dispatchers through those it is connected to.
 func (s *state) addEntries(ownAddr string, peers []wire.Peer) {
 	for _, p := range peers {
@@ -141,8 +142,9 @@
 	}
 }
 
-// announceEntries sends the runners all dispatchers added since the last call in one frame. If
-// each were sent at once, it would cost one frame per runner while a fleet starts.
+// announceEntries sends each runner the dispatchers added since the last call in one frame. If
+// each dispatcher were announced separately, a fleet that starts would cost one frame per
+// dispatcher and runner.
 func (s *sessions) announceEntries(st *state) {
 	if len(st.unannounced) == 0 {
 		return
@@ -170,6 +172,7 @@
 // maxEntries limits the number of known addresses; old ones are not evicted.
 const maxEntries = 1024
 
+// knownEntries returns the known dispatchers, in no order.
 func (s *state) knownEntries() []wire.Peer {
 	peers := make([]wire.Peer, 0, len(s.entries))
 	for addr, dataCentre := range s.entries {
