--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -111,6 +111,7 @@
 	return index, c.entryAddr(index)
 }
 
+// entryAddr returns the address of the entry at index, modulo the number of entries.
 func (c *Client) entryAddr(index uint32) string {
 	return c.options.Entries[index%uint32(len(c.options.Entries))]
 }
