--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,7 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against an owner that gives answers by a clock that stood still with its host.
+// Guards against an owner that, after a suspension of its host, returns expired answers
+// because its clock did not count the suspended time.
 func TestClockThroughSuspendCountsTheSuspension(t *testing.T) {
 	g := NewWithT(t)
 	nanos := int64(1)
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits, or returns when the context ends.
+// Sleep blocks for the given duration, or until the context is done.
 func Sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -15,8 +15,8 @@
 	}
 }
 
-// Millis returns a duration in milliseconds.
+// Millis converts a duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// FromMillis returns a duration from milliseconds.
+// FromMillis converts milliseconds to a duration.
 func FromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/clock/stall.go
+++ b/internal/clock/stall.go
@@ -7,43 +7,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// StallThreshold is the pause above which a daemon counts as having stood still: longer
-// than any of its ticks, and shorter than the silence after which peers give it up.
+// StallThreshold is the shortest pause of a daemon that counts as a stall. It is longer
+// than any tick interval and shorter than the silence after which peers close a session.
 const StallThreshold = 400 * time.Millisecond
 
-// StallDetector notices that the process stood still: it was frozen, or its host suspended.
-// The steady clock may not count such a time, and timers then say nothing of it. A
-// process that goes on as if nothing had happened acts on sessions and requests that
-// the other side has given up. The clock that counts suspensions is compared with
-// what should have passed between two looks.
+// StallDetector detects that the process was frozen or its host suspended. The monotonic
+// clock may not count that time, so timers don't reveal it, and the process would
+// continue with sessions and requests that its peers have already abandoned. The
+// detector measures the time between two checks by a clock that counts suspensions. It
+// is safe for concurrent use.
 type StallDetector struct {
-	limit time.Duration
-	last  atomic.Int64 // nanoseconds of the boot clock at the last look
+	threshold time.Duration
+	lastCheck atomic.Int64 // boot clock at the last check, in nanoseconds
 }
 
-// NewStallDetector returns a detector of pauses over limit. Look must be called more often.
-func NewStallDetector(limit time.Duration) *StallDetector {
-	s := &StallDetector{limit: limit}
-	s.last.Store(bootNanos())
+// NewStallDetector returns a detector of pauses of at least threshold. Check must be called at
+// shorter intervals than that.
+func NewStallDetector(threshold time.Duration) *StallDetector {
+	s := &StallDetector{threshold: threshold}
+	s.lastCheck.Store(bootNanos())
 	return s
 }
 
-// Check returns how long the process stood still since the last look; 0 where that is
-// below the limit.
+// Check returns the time since the previous check if it reaches the threshold, and 0
+// otherwise.
 func (s *StallDetector) Check() time.Duration {
 	now := bootNanos()
-	gap := time.Duration(now - s.last.Swap(now))
-	if gap < s.limit {
+	gap := time.Duration(now - s.lastCheck.Swap(now))
+	if gap < s.threshold {
 		return 0
 	}
 	return gap
 }
 
-// bootNanos reads the clock that runs on through suspensions.
+// bootNanos returns the reading of CLOCK_BOOTTIME, which also advances while the host is
+// suspended, in nanoseconds.
 func bootNanos() int64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Now().UnixNano() // every Linux since 2.6.39 has the clock
+		return time.Now().UnixNano() // not reached: Linux has the clock since 2.6.39
 	}
 	return ts.Nano()
 }
--- a/internal/clock/starvation.go
+++ b/internal/clock/starvation.go
@@ -3,44 +3,46 @@
 import "time"
 
 const (
-	// starvedWindow is the time over which short pauses are added up: what a caller waits
-	// for an answer, and twice the silence that ends a session.
-	starvedWindow = 2 * time.Second
-	// starvedLimit is the sum that counts: half of what a session may be silent.
-	starvedLimit = 500 * time.Millisecond
-	// starvedNoise is the lateness that a busy host gives to any turn.
-	starvedNoise = 20 * time.Millisecond
+	// starvationWindow is the time constant of the decaying sum of short pauses. It is as
+	// long as a caller waits for an answer, and twice the silence that ends a session.
+	starvationWindow = 2 * time.Second
+	// starvationThreshold is the sum of pauses that is reported: half of the silence that
+	// ends a session.
+	starvationThreshold = 500 * time.Millisecond
+	// latenessTolerance is the scheduling delay that is normal on a busy host. Delays up
+	// to it are not counted.
+	latenessTolerance = 20 * time.Millisecond
 )
 
-// StarvationDetector notices a process that is short of processor time: pauses that are each too
-// short for Stall come in a row. Peers and callers see their sum. It belongs to one
-// goroutine.
+// StarvationDetector detects that the process is short of processor time: pauses that are
+// each below StallThreshold, but whose sum peers and callers notice. It is not safe for
+// concurrent use.
 type StarvationDetector struct {
-	pace time.Duration
-	last int64 // nanoseconds of the boot clock at the last look
-	lost time.Duration
+	interval  time.Duration
+	lastCheck int64 // boot clock at the last check, in nanoseconds
+	pauses    time.Duration
 }
 
-// NewStarvationDetector returns a detector that is looked at every pace.
-func NewStarvationDetector(pace time.Duration) *StarvationDetector {
-	return &StarvationDetector{pace: pace, last: bootNanos()}
+// NewStarvationDetector returns a detector whose Check is called at the given interval.
+func NewStarvationDetector(interval time.Duration) *StarvationDetector {
+	return &StarvationDetector{interval: interval, lastCheck: bootNanos()}
 }
 
-// Check returns the sum of the pauses of about the last two seconds once it is worth
-// telling, and starts anew then; 0 before.
-func (s *StarvationDetector) Check() time.Duration { return s.look(bootNanos()) }
+// Check returns the sum of the pauses within about the last two seconds and resets it, once
+// the sum reaches starvationThreshold. Otherwise it returns 0.
+func (s *StarvationDetector) Check() time.Duration { return s.check(bootNanos()) }
 
-func (s *StarvationDetector) look(now int64) time.Duration {
-	gap := time.Duration(now - s.last)
-	s.last = now
-	s.lost -= s.lost * min(gap, starvedWindow) / starvedWindow // what is older weighs less
-	if late := gap - s.pace; late > starvedNoise {
-		s.lost += late
+func (s *StarvationDetector) check(now int64) time.Duration {
+	gap := time.Duration(now - s.lastCheck)
+	s.lastCheck = now
+	s.pauses -= s.pauses * min(gap, starvationWindow) / starvationWindow // decays older pauses
+	if late := gap - s.interval; late > latenessTolerance {
+		s.pauses += late
 	}
-	if s.lost < starvedLimit {
+	if s.pauses < starvationThreshold {
 		return 0
 	}
-	lost := s.lost
-	s.lost = 0
+	lost := s.pauses
+	s.pauses = 0
 	return lost
 }
--- a/internal/clock/starvation_test.go
+++ b/internal/clock/starvation_test.go
@@ -7,30 +7,31 @@
 	. "github.com/onsi/gomega"
 )
 
-// told returns the sums that a detector tells over a series of gaps between its looks.
-func told(gaps ...time.Duration) []time.Duration {
-	s := &StarvationDetector{pace: 100 * time.Millisecond}
+// reportedSums returns the non-zero results of a detector whose checks follow each other at the
+// given gaps.
+func reportedSums(gaps ...time.Duration) []time.Duration {
+	s := &StarvationDetector{interval: 100 * time.Millisecond}
 	var sums []time.Duration
 	now := int64(0)
 	for _, gap := range gaps {
 		now += int64(gap)
-		if lost := s.look(now); lost > 0 {
+		if lost := s.check(now); lost > 0 {
 			sums = append(sums, lost)
 		}
 	}
 	return sums
 }
 
-// Guards against a row of short pauses that ends sessions and leaves no line.
-func TestRowOfShortPausesIsTold(t *testing.T) {
+// Guards against a series of short pauses that ends sessions and is not logged.
+func TestSeriesOfShortPausesIsReported(t *testing.T) {
 	g := NewWithT(t)
 	const pause, pace = 350 * time.Millisecond, 100 * time.Millisecond
-	g.Expect(told(pause, pace, pause, pace, pause)).To(HaveLen(1))
-	g.Expect(told(pause)).To(BeEmpty(), "one alone does no harm")
+	g.Expect(reportedSums(pause, pace, pause, pace, pause)).To(HaveLen(1))
+	g.Expect(reportedSums(pause)).To(BeEmpty(), "a single pause is harmless")
 }
 
-// Guards against a line for each late turn of a busy host.
-func TestLateTurnsAreNotTold(t *testing.T) {
+// Guards against a log line for each late tick on a busy host.
+func TestLateTicksAreNotReported(t *testing.T) {
 	g := NewWithT(t)
 	var late, seldom []time.Duration
 	for range 200 {
@@ -40,6 +41,6 @@
 			seldom = append(seldom, 100*time.Millisecond)
 		}
 	}
-	g.Expect(told(late...)).To(BeEmpty())
-	g.Expect(told(seldom...)).To(BeEmpty())
+	g.Expect(reportedSums(late...)).To(BeEmpty())
+	g.Expect(reportedSums(seldom...)).To(BeEmpty())
 }
