--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -1,9 +1,10 @@
-// Package control runs the one goroutine that owns a daemon's control state.
+// Package control implements the event loop of a daemon: a single goroutine that owns the
+// control state.
 //
-// Traffic goroutines hand it commands through a bounded channel. It runs what has
-// gathered, then flushes once, so that one frame to each peer carries all that a
-// burst has changed. The bound is what keeps a flood of traffic from becoming a
-// growing line of commands in front of heartbeats and decisions.
+// Other goroutines submit commands through a bounded channel. The loop runs the queued
+// commands as a batch and then flushes once, so that a single frame per peer carries all
+// changes of a burst. The bound keeps a burst of traffic from delaying heartbeats and
+// scheduling decisions behind an ever longer queue of commands.
 package control
 
 import (
@@ -15,63 +16,64 @@
 )
 
 var (
-	// ErrBusy is a command that found no room; it was not executed and won't be.
+	// ErrBusy reports that the command queue was full. The command was not executed and
+	// will not be.
 	ErrBusy = errors.New("the control goroutine has too many commands")
-	// ErrStopped is a command that the end of the loop overtook; whether it was
-	// executed is unknown.
+	// ErrStopped reports that the loop stopped before it confirmed the command. Whether
+	// the command was executed is unknown.
 	ErrStopped = errors.New("the control goroutine has ended")
 )
 
-// Options of a Loop.
+// Options configure a Loop. The functions run on the control goroutine.
 type Options[S any] struct {
 	State S
 	Clock clock.Clock
-	// Tick does what the passing of time brings; Pace is the time to the next one.
+	// Tick performs the time-driven work; TickInterval returns the time to the next tick.
 	Tick         func(now time.Time, state S)
 	TickInterval func(state S) time.Duration
-	// Flush follows each batch of commands and each tick.
+	// Flush runs after each batch of commands and after each tick.
 	Flush       func(state S)
-	MaxCommands int // that wait for the goroutine
-	MaxBatch    int // between two flushes
-	// OnTurn, where set, is told how long each turn took: a batch of commands, or a
-	// tick, with its flush. It runs on the control goroutine and must not block.
+	MaxCommands int // capacity of the command queue
+	MaxBatch    int // most commands between two flushes
+	// OnTurn, if not nil, receives the statistics of each turn: a batch of commands or a
+	// tick, including the flush. It must not block.
 	OnTurn func(Turn)
 }
 
-// Turn is one pass of the control goroutine.
+// Turn holds the statistics of one iteration of the loop.
 type Turn struct {
 	Duration       time.Duration
-	Commands       int // that it ran; 0 for a tick
-	QueuedCommands int // commands that wait for the next one
+	Commands       int // commands executed; 0 for a tick
+	QueuedCommands int // length of the command queue after the turn
 }
 
-// Command is something to do with the state, on the control goroutine.
+// Command is a function that reads or changes the state on the control goroutine.
 type Command[S any] func(now time.Time, state S)
 
-// Loop is the control goroutine and the way to it.
+// Loop runs the control goroutine and its command queue.
 type Loop[S any] struct {
-	o        Options[S]
+	options  Options[S]
 	commands chan Command[S]
 	stop     chan struct{}
 	stopped  chan struct{}
 }
 
-// New returns a loop that does not run yet.
+// New returns a loop; Run starts it.
 func New[S any](o Options[S]) *Loop[S] {
 	return &Loop[S]{
-		o:        o,
+		options:  o,
 		commands: make(chan Command[S], o.MaxCommands),
 		stop:     make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
 
-// Run is the control goroutine. It returns after End. The first tick comes before
-// the first command, so that the state has a time.
+// Run executes the loop in the calling goroutine until Stop. The first tick precedes the
+// first command, so that commands find the time set in the state.
 func (l *Loop[S]) Run() {
 	defer close(l.stopped)
 	lastTick := time.Now()
-	l.o.Tick(l.o.Clock.Now(), l.o.State)
-	tick := time.NewTimer(l.o.TickInterval(l.o.State))
+	l.options.Tick(l.options.Clock.Now(), l.options.State)
+	tick := time.NewTimer(l.options.TickInterval(l.options.State))
 	defer tick.Stop()
 	for {
 		var began time.Time
@@ -81,46 +83,46 @@
 			return
 		case first := <-l.commands:
 			began = time.Now()
-			commands = l.batch(first)
+			commands = l.runBatch(first)
 		case <-tick.C:
 			began = time.Now()
 			lastTick = began
-			l.o.Tick(l.o.Clock.Now(), l.o.State)
+			l.options.Tick(l.options.Clock.Now(), l.options.State)
 		}
-		l.o.Flush(l.o.State)
-		l.turned(began, commands)
-		// Counted from the last tick, so that commands can't put the next one off.
-		tick.Reset(time.Until(lastTick.Add(l.o.TickInterval(l.o.State))))
+		l.options.Flush(l.options.State)
+		l.reportTurn(began, commands)
+		// Measured from the last tick, so that commands can't delay the next one.
+		tick.Reset(time.Until(lastTick.Add(l.options.TickInterval(l.options.State))))
 	}
 }
 
-// batch runs the first command and those that wait behind it, and returns how many
-// it ran.
-func (l *Loop[S]) batch(first Command[S]) int {
-	first(l.o.Clock.Now(), l.o.State)
-	for n := 1; n < l.o.MaxBatch; n++ {
+// runBatch runs first and up to MaxBatch-1 queued commands, and returns how many commands it
+// ran.
+func (l *Loop[S]) runBatch(first Command[S]) int {
+	first(l.options.Clock.Now(), l.options.State)
+	for n := 1; n < l.options.MaxBatch; n++ {
 		select {
 		case next := <-l.commands:
-			next(l.o.Clock.Now(), l.o.State)
+			next(l.options.Clock.Now(), l.options.State)
 		default:
 			return n
 		}
 	}
-	return l.o.MaxBatch
+	return l.options.MaxBatch
 }
 
-func (l *Loop[S]) turned(began time.Time, commands int) {
-	if l.o.OnTurn != nil {
-		l.o.OnTurn(Turn{Duration: time.Since(began), Commands: commands, QueuedCommands: l.QueuedCommands()})
+func (l *Loop[S]) reportTurn(began time.Time, commands int) {
+	if l.options.OnTurn != nil {
+		l.options.OnTurn(Turn{Duration: time.Since(began), Commands: commands, QueuedCommands: l.QueuedCommands()})
 	}
 }
 
-// QueuedCommands returns how many commands wait.
+// QueuedCommands returns the length of the command queue.
 func (l *Loop[S]) QueuedCommands() int { return len(l.commands) }
 
-// Push hands over a command, however long that takes. Connections of peers use it:
-// while one waits here, its peer sees that its frames are not heard. The error is
-// ErrStopped.
+// Push enqueues a command and blocks while the queue is full. Connections of peers use it
+// for backpressure: while one blocks here, it does not acknowledge its peer's frames. The
+// only error is ErrStopped.
 func (l *Loop[S]) Push(run Command[S]) error {
 	select {
 	case l.commands <- run:
@@ -130,14 +132,15 @@
 	}
 }
 
-// Post hands over a command and gives up with ErrBusy after patience.
-func (l *Loop[S]) Post(patience time.Duration, run Command[S]) error {
+// Post enqueues a command. It returns ErrBusy if the queue is still full after the timeout, and
+// ErrStopped if the loop has stopped.
+func (l *Loop[S]) Post(timeout time.Duration, run Command[S]) error {
 	select {
 	case l.commands <- run:
 		return nil
 	default:
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case l.commands <- run:
@@ -149,10 +152,11 @@
 	}
 }
 
-// Do runs a command and waits until it is done; patience is as for Post.
-func (l *Loop[S]) Do(patience time.Duration, run Command[S]) error {
+// Do enqueues a command like Post, whose errors it returns, and waits until it was executed.
+// The timeout bounds the enqueueing only.
+func (l *Loop[S]) Do(timeout time.Duration, run Command[S]) error {
 	done := make(chan struct{})
-	err := l.Post(patience, func(now time.Time, state S) {
+	err := l.Post(timeout, func(now time.Time, state S) {
 		defer close(done)
 		run(now, state)
 	})
@@ -167,11 +171,11 @@
 	}
 }
 
-// Stop stops the loop and waits for it. Call it once, after Run was started.
+// Stop stops the loop and waits until Run has returned. Call it once, after Run was started.
 func (l *Loop[S]) Stop() {
 	close(l.stop)
 	<-l.stopped
 }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has stopped.
 func (l *Loop[S]) Done() <-chan struct{} { return l.stopped }
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -9,8 +9,8 @@
 	"github.com/camphorrack/camphorrack/internal/clock"
 )
 
-// Guards against a blocked control goroutine that no log line shows.
-func TestTurnsAreReportedWithWhatTheyHeldUp(t *testing.T) {
+// Guards against a blocked control goroutine that is not reported.
+func TestTurnsAreReportedWithTheirQueueLength(t *testing.T) {
 	g := NewWithT(t)
 	turns := make(chan Turn, 16)
 	l := New(Options[int]{
