--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -1,6 +1,6 @@
-// Package silence finds peers that don't answer, without taking the caller's own
-// standstill for theirs. A process that was frozen, or had no processor, finds every
-// timer due when it goes on, while the reply waits in a socket that it has not read.
+// Package silence detects peers that don't respond, and does not mistake a pause of the
+// calling process for one of the peer. After the process was frozen or starved of processor
+// time, all its timers have expired, although the reply may be waiting unread in a socket.
 package silence
 
 import (
@@ -12,40 +12,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSilent is a call on which nothing moved for too long.
+// ErrSilent reports a call that made no progress for longer than the limit.
 var ErrSilent = errors.New("the peer is silent")
 
-// quanta is in how many parts a silence is counted.
-const quanta = 8
+// quantaPerLimit is the number of intervals into which the limit is divided.
+const quantaPerLimit = 8
 
-// counter counts for how long nothing was heard of a peer. It does so in quanta of which
-// each counts once however long it took, and finds a peer silent only after one that was
-// on time.
+// counter measures how long a peer has been silent. It checks once per quantum and adds at most
+// one quantum per check, however late the check is. It reports a peer as silent only at a check
+// less than one quantum late, so that the process has had time to read a waiting reply.
 type counter struct {
-	limit   time.Duration
-	counted time.Duration
-	last    time.Time // of the last look, or when the peer was heard
+	limit     time.Duration
+	counted   time.Duration
+	lastCheck time.Time // time of the last check or sign of life
 }
 
-func newCounter(now time.Time, limit time.Duration) counter { return counter{limit: limit, last: now} }
+func newCounter(now time.Time, limit time.Duration) counter {
+	return counter{limit: limit, lastCheck: now}
+}
 
-// quantum is the time between two looks.
-func (c *counter) quantum() time.Duration { return c.limit / quanta }
+// quantum returns the time between two checks.
+func (c *counter) quantum() time.Duration { return c.limit / quantaPerLimit }
 
-// heard notes a sign of life.
-func (c *counter) heard(now time.Time) { c.counted, c.last = 0, now }
+// reset records a sign of life.
+func (c *counter) reset(now time.Time) { c.counted, c.lastCheck = 0, now }
 
-// look counts the time since the last look and reports whether the peer is silent.
-func (c *counter) look(now time.Time) bool {
-	gap := now.Sub(c.last)
-	c.last = now
+// check adds the time since the last check, at most one quantum, and reports whether the peer
+// is silent.
+func (c *counter) check(now time.Time) bool {
+	gap := now.Sub(c.lastCheck)
+	c.lastCheck = now
 	c.counted += min(gap, c.quantum())
 	return c.counted >= c.limit && gap < 2*c.quantum()
 }
 
-// Watchdog gives up a call on which nothing moved for too long. It is safe for concurrent use.
+// Watchdog aborts a call that makes no progress. It is safe for concurrent use.
 type Watchdog struct {
-	giveUp func(error)
+	onSilence func(error)
 
 	mu      sync.Mutex
 	counter counter
@@ -53,37 +56,38 @@
 	stopped bool
 }
 
-// NewWatchdog begins to watch. giveUp is called at most once, with ErrSilent, and must not
-// call the watch; it fits a context.CancelCauseFunc.
-func NewWatchdog(limit time.Duration, giveUp func(error)) *Watchdog {
-	w := &Watchdog{giveUp: giveUp, counter: newCounter(time.Now(), limit)}
-	w.mu.Lock() // look may run before the timer is assigned
+// NewWatchdog starts a watchdog that calls onSilence with ErrSilent after the limit without
+// progress, at most once. onSilence must not call the watchdog's methods; a
+// context.CancelCauseFunc is suitable.
+func NewWatchdog(limit time.Duration, onSilence func(error)) *Watchdog {
+	w := &Watchdog{onSilence: onSilence, counter: newCounter(time.Now(), limit)}
+	w.mu.Lock() // check may run before the timer is assigned
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.counter.quantum(), w.look)
+	w.timer = time.AfterFunc(w.counter.quantum(), w.check)
 	return w
 }
 
-func (w *Watchdog) look() {
+func (w *Watchdog) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
 		return
 	}
-	if w.counter.look(time.Now()) {
-		w.giveUp(ErrSilent)
+	if w.counter.check(time.Now()) {
+		w.onSilence(ErrSilent)
 		return
 	}
 	w.timer.Reset(w.counter.quantum())
 }
 
-// RecordProgress notes that bytes moved.
+// RecordProgress restarts the limit. Call it when bytes were sent or received.
 func (w *Watchdog) RecordProgress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.counter.heard(time.Now())
+	w.counter.reset(time.Now())
 }
 
-// Stop ends the watch.
+// Stop stops the watchdog; onSilence is not called afterwards.
 func (w *Watchdog) Stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,8 +95,9 @@
 	w.timer.Stop()
 }
 
-// Dialer returns a dialer that gives up a connection that does not come about in time. The
-// error is then a *net.OpError of a dial, as for one that is refused, and wraps ErrSilent.
+// Dialer returns a dial function that aborts when the connection is not established within
+// the limit. The error is then a *net.OpError with the operation "dial", as for a refused
+// connection, and wraps ErrSilent.
 func Dialer(limit time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithCancelCause(ctx)
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -9,14 +9,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// looks replays the times of an observer's looks, as gaps between them, and returns the
-// number of the one at which the peer was given up; 0: never.
-func looks(limit time.Duration, gaps ...time.Duration) int {
+// checksUntilSilent runs a check after each gap and returns the number of the first check that
+// reports the peer as silent, or 0 if none does.
+func checksUntilSilent(limit time.Duration, gaps ...time.Duration) int {
 	now := time.UnixMilli(0)
 	s := newCounter(now, limit)
 	for i, gap := range gaps {
 		now = now.Add(gap)
-		if s.look(now) {
+		if s.check(now) {
 			return i + 1
 		}
 	}
@@ -31,37 +31,37 @@
 	return gaps
 }
 
-// Guards against a peer that answered being given up for the caller's own standstill.
-func TestOwnStandstillIsNotThePeersSilence(t *testing.T) {
+// Guards against a pause of the calling process being taken for silence of a peer that has replied.
+func TestPauseOfTheCallerIsNotSilenceOfThePeer(t *testing.T) {
 	g := NewWithT(t)
 	const limit = 800 * time.Millisecond
-	onTime := limit / quanta
-	g.Expect(looks(limit, repeat(onTime, 20)...)).To(Equal(quanta), "a silent peer is found in time")
-	g.Expect(looks(limit, append([]time.Duration{time.Minute}, repeat(onTime, 20)...)...)).To(Equal(quanta))
-	late := append(repeat(onTime, quanta-1), time.Minute)
-	g.Expect(looks(limit, late...)).To(BeZero(), "a standstill in the last quantum")
-	g.Expect(looks(limit, append(late, onTime)...)).To(Equal(quanta+1), "after one more, it had the time to be heard")
-	g.Expect(looks(limit, repeat(time.Second, 100)...)).To(BeZero(), "a process that hardly runs")
-	g.Expect(looks(limit, append(repeat(time.Second, 100), onTime)...)).To(Equal(101))
+	onTime := limit / quantaPerLimit
+	g.Expect(checksUntilSilent(limit, repeat(onTime, 20)...)).To(Equal(quantaPerLimit), "a silent peer is detected at the limit")
+	g.Expect(checksUntilSilent(limit, append([]time.Duration{time.Minute}, repeat(onTime, 20)...)...)).To(Equal(quantaPerLimit))
+	late := append(repeat(onTime, quantaPerLimit-1), time.Minute)
+	g.Expect(checksUntilSilent(limit, late...)).To(BeZero(), "a pause in the last quantum")
+	g.Expect(checksUntilSilent(limit, append(late, onTime)...)).To(Equal(quantaPerLimit+1), "one more quantum gave the process time to read a reply")
+	g.Expect(checksUntilSilent(limit, repeat(time.Second, 100)...)).To(BeZero(), "a process that is starved of processor time")
+	g.Expect(checksUntilSilent(limit, append(repeat(time.Second, 100), onTime)...)).To(Equal(101))
 }
 
-// Guards against giving up a reply that arrives slowly.
-func TestSignsOfLifeEndASilence(t *testing.T) {
+// Guards against aborting a call whose reply arrives slowly.
+func TestSignOfLifeResetsTheCounter(t *testing.T) {
 	g := NewWithT(t)
 	now := time.UnixMilli(0)
 	s := newCounter(now, time.Second)
 	for range 100 {
-		for range quanta - 1 {
-			now = now.Add(time.Second / quanta)
-			g.Expect(s.look(now)).To(BeFalse())
+		for range quantaPerLimit - 1 {
+			now = now.Add(time.Second / quantaPerLimit)
+			g.Expect(s.check(now)).To(BeFalse())
 		}
-		s.heard(now)
+		s.reset(now)
 	}
 }
 
-// Guards against a connection that ends with the dial that made it, and against a dial
-// that outlasts its caller.
-func TestDialerFollowsItsCaller(t *testing.T) {
+// Guards against a connection that is closed when the context of its dial ends, and against a
+// dial that continues after its caller's context is cancelled.
+func TestDialerFollowsTheCallersContext(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
