--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,6 @@
-// Package invariant checks, inside the running programs, what must always hold.
-// A breach is logged as event 104 with its history. With -crash-on-breach it also
-// ends the process, so that a randomised run stops at the first wrong step and
-// not at a symptom far behind it.
+// Package invariant checks invariants at run time. A breach is logged as event 104 with
+// its history. With -crash-on-breach it also ends the process, so that a randomised test
+// stops at the first incorrect step instead of at a later symptom.
 package invariant
 
 import (
@@ -14,11 +13,11 @@
 )
 
 var (
-	crash    atomic.Bool
-	breaches atomic.Int64
+	crashOnBreach atomic.Bool
+	breaches      atomic.Int64
 )
 
-// Breach is the value that a check panics with when crashing is on.
+// Breach is the panic value of a failed check if SetCrashOnBreach(true) is in force.
 type Breach struct {
 	Invariant string
 	History   string
@@ -27,26 +26,26 @@
 // Error implements error.
 func (b *Breach) Error() string { return "invariant broken: " + b.Invariant + "\n" + b.History }
 
-// SetCrashOnBreach makes every later breach panic, or only be logged.
-func SetCrashOnBreach(on bool) { crash.Store(on) }
+// SetCrashOnBreach sets whether later breaches panic in addition to being logged.
+func SetCrashOnBreach(on bool) { crashOnBreach.Store(on) }
 
-// Breaches returns how many checks have failed in this process.
+// Breaches returns the number of failed checks in this process, for the metrics.
 func Breaches() int64 { return breaches.Load() }
 
-// Check asserts that ok holds. what names the invariant; history is printed with
-// a breach and formatted only then, so pass a fmt.Stringer for anything long.
-func Check(ok bool, log logr.Logger, what string, history ...any) {
+// Check records a breach if ok is false. The name identifies the invariant. The history is
+// formatted only for a breach, so pass a fmt.Stringer for anything long.
+func Check(ok bool, log logr.Logger, name string, history ...any) {
 	if !ok {
-		// The copy keeps the caller's argument list off the heap while all is well.
-		broken(log, what, append([]any(nil), history...))
+		// The copy keeps the caller's argument list off the heap while the invariant holds.
+		reportBreach(log, name, append([]any(nil), history...))
 	}
 }
 
-func broken(log logr.Logger, what string, history []any) {
+func reportBreach(log logr.Logger, name string, history []any) {
 	breaches.Add(1)
 	text := fmt.Sprintln(history...)
-	event.Log(log, event.InvariantBroken, "invariant", what, "history", text)
-	if crash.Load() {
-		panic(&Breach{Invariant: what, History: text})
+	event.Log(log, event.InvariantBroken, "invariant", name, "history", text)
+	if crashOnBreach.Load() {
+		panic(&Breach{Invariant: name, History: text})
 	}
 }
