--- a/internal/session/close.go
+++ b/internal/session/close.go
@@ -9,22 +9,22 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Reason tells why a connection ended.
+// Reason is the reason for the end of a connection.
 type Reason string
 
 // Reasons for the end of a connection.
 const (
-	ReasonLocal          Reason = "local"    // this side closed it on purpose
-	ReasonPeer           Reason = "peer"     // the other side closed it, or its process ended
-	ReasonSilent         Reason = "silent"   // nothing was heard for too long
-	ReasonUnacknowledged Reason = "unheard"  // we hear the peer, but it has not heard us for too long
-	ReasonOverflow       Reason = "overflow" // too much waited to be written
-	ReasonWrite          Reason = "write"    // a frame could not be written in time
+	ReasonLocal          Reason = "local"    // Close was called on this side
+	ReasonPeer           Reason = "peer"     // the peer closed it, or its process ended
+	ReasonSilent         Reason = "silent"   // no frame was received within the timeout
+	ReasonUnacknowledged Reason = "unheard"  // the peer acknowledged no frame within the timeout, although its frames arrive
+	ReasonOverflow       Reason = "overflow" // the send queue exceeded its bound
+	ReasonWrite          Reason = "write"    // writing a frame failed or timed out
 	ReasonFrame          Reason = "frame"    // a frame was malformed, too large or out of sequence
-	ReasonRejected       Reason = "rejected" // the receiver of the frames refused one
+	ReasonRejected       Reason = "rejected" // the receive function returned an error
 )
 
-// CloseError is the end of a connection; Cause may be nil.
+// CloseError reports the end of a connection. Cause may be nil.
 type CloseError struct {
 	Reason Reason
 	Cause  error
@@ -41,7 +41,7 @@
 // Unwrap returns the cause.
 func (e *CloseError) Unwrap() error { return e.Cause }
 
-// SequenceError is a frame whose number, or whose acknowledgement, can't be.
+// SequenceError reports a frame with an unexpected number or acknowledgement.
 type SequenceError struct {
 	Want, Got uint64
 }
@@ -51,8 +51,8 @@
 	return fmt.Sprintf("frame out of sequence: want %d, got %d", e.Want, e.Got)
 }
 
-// readReason sorts the errors that end the reading side.
-func readReason(err error) Reason {
+// reasonOfReadError returns the reason for closing a connection after an error of read.
+func reasonOfReadError(err error) Reason {
 	var frame *wire.FrameError
 	var sequence *SequenceError
 	switch {
--- a/internal/session/conn.go
+++ b/internal/session/conn.go
@@ -14,12 +14,12 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Frame is one of the two kinds of frame.
+// Frame is the type constraint for the two frame types.
 type Frame interface {
 	wire.ToEntry | wire.ToAgent
 }
 
-// sequenced is what both kinds of frame can do, as pointers.
+// sequenced has the common methods of pointers to both frame types.
 type sequenced interface {
 	Stamp(seq, heard uint64)
 	Sequence() (seq, heard uint64)
@@ -27,27 +27,28 @@
 	EstimatedBytes() int
 }
 
-// Conn is one connection that receives In and sends Out. One goroutine writes;
-// the one that calls Serve reads.
+// Conn is a connection that receives frames of type In and sends those of type Out. A
+// goroutine of its own writes; the caller of Serve reads.
 type Conn[In, Out Frame] struct {
-	ws    *websocket.Conn
-	o     Options
-	queue *queue[Out]
-	pulse *pulse
-	heard atomic.Uint64 // highest number of the peer's frames that was delivered
+	ws           *websocket.Conn
+	options      Options
+	queue        *queue[Out]
+	liveness     *liveness
+	deliveredSeq atomic.Uint64 // number of the last received frame that receive has handled
 
 	closeOnce sync.Once
 	done      chan struct{}
-	err       error // written before done is closed
+	err       error // set before done is closed
 }
 
-// ToAgentConn is the entry's side of a connection, ToEntryConn the agent's.
+// ToAgentConn is the entry's end of a connection, ToEntryConn the agent's.
 type (
 	ToAgentConn = Conn[wire.ToEntry, wire.ToAgent]
 	ToEntryConn = Conn[wire.ToAgent, wire.ToEntry]
 )
 
-// Accept upgrades an agent's request. After an error the response is written.
+// Accept upgrades an agent's request to a WebSocket. On an error it has already written the
+// HTTP response.
 func Accept(w http.ResponseWriter, r *http.Request, o Options) (*ToAgentConn, error) {
 	upgrader := websocket.Upgrader{WriteBufferSize: writeBufferBytes}
 	ws, err := upgrader.Upgrade(w, r, nil)
@@ -57,8 +58,8 @@
 	return start[wire.ToEntry, wire.ToAgent](ws, o), nil
 }
 
-// Dial connects to the entry at addr ("ip:port"). The context bounds the
-// handshake only.
+// Dial connects to the entry at addr ("ip:port"). The context bounds the dial and the
+// handshake, not the lifetime of the connection.
 func Dial(ctx context.Context, addr string, o Options) (*ToEntryConn, error) {
 	o = o.withDefaults()
 	dialer := websocket.Dialer{
@@ -76,40 +77,41 @@
 func start[In, Out Frame](ws *websocket.Conn, o Options) *Conn[In, Out] {
 	o = o.withDefaults()
 	ws.SetReadLimit(int64(o.MaxFrameBytes))
-	c := &Conn[In, Out]{ws: ws, o: o, queue: newQueue[Out](o.MaxQueueBytes), pulse: newPulse(o, time.Now()), done: make(chan struct{})}
+	c := &Conn[In, Out]{ws: ws, options: o, queue: newQueue[Out](o.MaxQueueBytes), liveness: newLiveness(o, time.Now()), done: make(chan struct{})}
 	go c.write()
 	return c
 }
 
-// Send queues a frame and never blocks. The session numbers the frame; the
-// caller must not touch it afterwards. When too much is queued already, the
-// connection is closed; after the end of the connection, frames are dropped.
+// Send queues a frame and never blocks. It takes ownership of the frame, which the
+// connection numbers and encodes later. If the queue is full, the connection is closed with
+// ReasonOverflow. After the end of the connection, frames are dropped.
 func (c *Conn[In, Out]) Send(f *Out) {
 	if !c.queue.push(f, any(f).(sequenced).EstimatedBytes()) {
-		c.end(ReasonOverflow, nil)
+		c.closeWith(ReasonOverflow, nil)
 	}
 }
 
-// Serve hands each frame to receive, in order, until the connection ends, and
-// returns why (a *CloseError). An error of receive closes the connection. While
-// receive blocks, the peer is not told that its frames were heard.
+// Serve passes each frame to receive, in order, until the connection ends, and returns the
+// *CloseError. An error of receive closes the connection. A frame is acknowledged only
+// after receive has returned, so a blocking receive exerts backpressure on the peer.
 func (c *Conn[In, Out]) Serve(receive func(*In) error) error {
 	for {
 		f, err := c.read()
 		if err != nil {
-			c.end(readReason(err), err)
+			c.closeWith(reasonOfReadError(err), err)
 			return c.err
 		}
 		if err := receive(f); err != nil {
-			c.end(ReasonRejected, err)
+			c.closeWith(ReasonRejected, err)
 			return c.err
 		}
 		seq, _ := any(f).(sequenced).Sequence()
-		c.heard.Store(seq)
+		c.deliveredSeq.Store(seq)
 	}
 }
 
-// read waits for one frame. The writer ends the connection when none comes.
+// read blocks until the next frame arrives and validates its numbers. The writer closes the
+// connection if no frame arrives in time.
 func (c *Conn[In, Out]) read() (*In, error) {
 	_, data, err := c.ws.ReadMessage()
 	if err != nil {
@@ -121,81 +123,81 @@
 	}
 	frame := any(f).(sequenced)
 	seq, ack := frame.Sequence()
-	if want := c.heard.Load() + 1; seq != want {
+	if want := c.deliveredSeq.Load() + 1; seq != want {
 		return nil, &SequenceError{Want: want, Got: seq}
 	}
-	woken, err := c.pulse.heard(time.Now(), ack, !frame.IsHeartbeat())
+	activated, err := c.liveness.recordReceive(time.Now(), ack, !frame.IsHeartbeat())
 	if err != nil {
 		return nil, err
 	}
-	if woken {
-		c.queue.wake() // the writer sleeps for as long as an idle heartbeat takes
+	if activated {
+		c.queue.wake() // the writer may be sleeping for an idle heartbeat interval
 	}
-	c.o.Counters.FramesIn.Add(1)
-	c.o.Counters.BytesIn.Add(int64(len(data)))
+	c.options.Counters.FramesIn.Add(1)
+	c.options.Counters.BytesIn.Add(int64(len(data)))
 	return f, nil
 }
 
-// write sends what is queued, and a heartbeat whenever nothing went out for a
-// while, and ends the connection when it is silent.
+// write sends queued frames, and a heartbeat when none was sent for the heartbeat interval.
+// It closes the connection when it is silent.
 func (c *Conn[In, Out]) write() {
-	look := time.NewTimer(c.o.HeartbeatInterval)
-	defer look.Stop()
+	checkTimer := time.NewTimer(c.options.HeartbeatInterval)
+	defer checkTimer.Stop()
 	for {
 		select {
 		case <-c.done:
 			return
 		case <-c.queue.ready:
-		case <-look.C:
+		case <-checkTimer.C:
 		}
-		frames := c.queue.take()
-		if len(frames) == 0 && c.pulse.heartbeatDue(time.Now()) {
+		frames := c.queue.drain()
+		if len(frames) == 0 && c.liveness.heartbeatDue(time.Now()) {
 			frames = append(frames, new(Out))
-			c.o.Counters.Heartbeats.Add(1)
+			c.options.Counters.Heartbeats.Add(1)
 		}
 		for _, f := range frames {
 			if err := c.writeFrame(f); err != nil {
-				c.end(ReasonWrite, err)
+				c.closeWith(ReasonWrite, err)
 				return
 			}
 		}
 		now := time.Now()
-		if reason := c.pulse.silence(now); reason != "" {
-			c.end(reason, nil)
+		if reason := c.liveness.timeoutReason(now); reason != "" {
+			c.closeWith(reason, nil)
 			return
 		}
-		look.Reset(c.pulse.nextLook(now))
+		checkTimer.Reset(c.liveness.nextCheckIn(now))
 	}
 }
 
 func (c *Conn[In, Out]) writeFrame(f *Out) error {
 	frame := any(f).(sequenced)
-	frame.Stamp(c.pulse.sending(time.Now(), !frame.IsHeartbeat()), c.heard.Load())
+	frame.Stamp(c.liveness.recordSend(time.Now(), !frame.IsHeartbeat()), c.deliveredSeq.Load())
 	data, err := wire.Encode(f)
 	if err != nil {
 		return err
 	}
-	// A write blocks once the peer's and our kernel's buffers are full, which is
-	// how a cut shows under load before anything else does.
-	if err := c.ws.SetWriteDeadline(time.Now().Add(c.o.SilenceTimeout)); err != nil {
+	// A write blocks once the socket buffers of both hosts are full, which under load is
+	// the first sign of a loss of connectivity.
+	if err := c.ws.SetWriteDeadline(time.Now().Add(c.options.SilenceTimeout)); err != nil {
 		return errors.Wrap(err, "set the write deadline")
 	}
 	if err := c.ws.WriteMessage(websocket.BinaryMessage, data); err != nil {
 		return errors.Wrap(err, "write a frame")
 	}
-	c.o.Counters.FramesOut.Add(1)
-	c.o.Counters.BytesOut.Add(int64(len(data)))
+	c.options.Counters.FramesOut.Add(1)
+	c.options.Counters.BytesOut.Add(int64(len(data)))
 	return nil
 }
 
-// Close ends the connection at once; what is queued is dropped. The cause may be
-// nil. Only the first end of a connection counts.
-func (c *Conn[In, Out]) Close(cause error) { c.end(ReasonLocal, cause) }
+// Close closes the connection immediately and drops queued frames. The cause may be nil.
+// It has no effect on a connection that has already ended.
+func (c *Conn[In, Out]) Close(cause error) { c.closeWith(ReasonLocal, cause) }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn[In, Out]) Done() <-chan struct{} { return c.done }
 
-// Err returns why the connection ended, or nil while it lasts.
+// Err returns the *CloseError of an ended connection, or nil while it is open.
 func (c *Conn[In, Out]) Err() error {
 	select {
 	case <-c.done:
@@ -208,14 +210,14 @@
 // RemoteAddr returns the peer's address.
 func (c *Conn[In, Out]) RemoteAddr() string { return c.ws.RemoteAddr().String() }
 
-func (c *Conn[In, Out]) end(reason Reason, cause error) {
+func (c *Conn[In, Out]) closeWith(reason Reason, cause error) {
 	c.closeOnce.Do(func() {
 		if reason == ReasonSilent || reason == ReasonUnacknowledged {
-			c.o.Counters.ClosedSilent.Add(1)
+			c.options.Counters.ClosedSilent.Add(1)
 		}
 		c.err = &CloseError{Reason: reason, Cause: cause}
 		c.queue.close()
 		close(c.done)
-		_ = c.ws.Close() // the connection is given up whatever this returns
+		_ = c.ws.Close() // the connection is abandoned in any case
 	})
 }
--- a/internal/session/options.go
+++ b/internal/session/options.go
@@ -1,7 +1,7 @@
-// Package session carries frames between an entry and an agent over one
-// WebSocket. It numbers the frames, sends heartbeats, and closes a connection
-// that has gone silent in either direction with a typed error. It keeps nothing
-// across connections: what must survive one is asked about on the next.
+// Package session exchanges frames between an entry and an agent over a WebSocket
+// connection. It numbers the frames, sends heartbeats, and closes a connection that is
+// silent in either direction with a typed error. It keeps no state across connections;
+// the peers reconcile unfinished work on the next one.
 package session
 
 import (
@@ -11,38 +11,38 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Path is where an entry serves its agents' connections.
+// Path is the HTTP path at which an entry accepts connections of agents.
 const Path = "/internal/agent"
 
 const (
-	// maxQueueBytes bounds what waits for a slow peer: four of the largest frames.
-	// Without it, a peer that reads slowly but is never silent would take the
-	// sender's memory.
+	// maxQueueBytes bounds the frames queued for a peer, at four frames of the maximum
+	// size. Without a bound, a peer that reads slowly but is never silent would exhaust
+	// the sender's memory.
 	maxQueueBytes = 4 * wire.MaxFrameBytes
-	// writeBufferBytes holds a usual frame whole, so that it takes one system call.
+	// writeBufferBytes fits a typical frame, so that writing it takes a single system call.
 	writeBufferBytes = 16 << 10
-	// activeFor is how long after a frame with content a connection is watched
-	// closely. Most tasks take less than a second and few take several, so a task
-	// that runs keeps its connection active until its outcome comes.
-	activeFor = 5 * time.Second
-	// idleHeartbeat and idleSilent are the loose watch of an idle connection. A host
-	// that lost power while idle counts as connected for as long as idleSilent; a
-	// start sent to it meanwhile is missed after Silent.
-	idleHeartbeat = 2 * time.Second
-	idleSilent    = 7 * time.Second
+	// activeWindow is the default of Options.ActiveWindow. Most tasks take less than a
+	// second and few take several, so a connection usually stays active while a task
+	// runs, until its outcome arrives.
+	activeWindow = 5 * time.Second
+	// idleHeartbeatInterval and idleSilenceTimeout apply to an idle connection. A host
+	// that loses power while idle counts as connected for up to idleSilenceTimeout. The
+	// loss of a start sent to it in that time is detected after Options.SilenceTimeout.
+	idleHeartbeatInterval = 2 * time.Second
+	idleSilenceTimeout    = 7 * time.Second
 )
 
-// Options tune a connection. A zero field takes the default.
+// Options configure a connection. A zero field selects the default.
 type Options struct {
-	HeartbeatInterval     time.Duration // longest pause between two frames of ours; default wire.HeartbeatIntervalMs
-	SilenceTimeout        time.Duration // silence that closes the connection; default wire.SilenceTimeoutMs
-	ActiveWindow          time.Duration // the two above hold so long after a frame with content
-	IdleHeartbeatInterval time.Duration // in place of Heartbeat, later
-	IdleSilenceTimeout    time.Duration // in place of Silent, later
-	DialTimeout           time.Duration // for the connection alone, without the handshake; default Silent
-	MaxFrameBytes         int           // largest frame taken; default wire.MaxFrameBytes
-	MaxQueueBytes         int           // estimated bytes that may wait to be written
-	Counters              *Counters     // shared among connections; may be nil
+	HeartbeatInterval     time.Duration // longest pause between two sent frames of an active connection; default wire.HeartbeatIntervalMs
+	SilenceTimeout        time.Duration // silence after which an active connection is closed; default wire.SilenceTimeoutMs
+	ActiveWindow          time.Duration // time after a frame with content in which the connection counts as active
+	IdleHeartbeatInterval time.Duration // HeartbeatInterval of an idle connection
+	IdleSilenceTimeout    time.Duration // SilenceTimeout of an idle connection
+	DialTimeout           time.Duration // for the TCP connection, without the handshake; default SilenceTimeout
+	MaxFrameBytes         int           // largest frame accepted; default wire.MaxFrameBytes
+	MaxQueueBytes         int           // bound of the send queue, in estimated bytes
+	Counters              *Counters     // may be nil, and shared by several connections
 }
 
 func (o Options) withDefaults() Options {
@@ -53,13 +53,13 @@
 		o.SilenceTimeout = wire.SilenceTimeoutMs * time.Millisecond
 	}
 	if o.ActiveWindow == 0 {
-		o.ActiveWindow = activeFor
+		o.ActiveWindow = activeWindow
 	}
 	if o.IdleHeartbeatInterval == 0 {
-		o.IdleHeartbeatInterval = idleHeartbeat
+		o.IdleHeartbeatInterval = idleHeartbeatInterval
 	}
 	if o.IdleSilenceTimeout == 0 {
-		o.IdleSilenceTimeout = idleSilent
+		o.IdleSilenceTimeout = idleSilenceTimeout
 	}
 	if o.DialTimeout == 0 {
 		o.DialTimeout = o.SilenceTimeout
@@ -76,11 +76,11 @@
 	return o
 }
 
-// Counters add up the traffic of connections; all fields are safe for concurrent
-// use. Bytes are those of the encoded frames, without WebSocket and TCP headers.
+// Counters count the traffic of connections. They are safe for concurrent use. Bytes are
+// those of the encoded frames, without WebSocket and TCP headers.
 type Counters struct {
 	FramesIn, FramesOut atomic.Int64
 	BytesIn, BytesOut   atomic.Int64
-	Heartbeats          atomic.Int64 // frames out that carried nothing else
-	ClosedSilent        atomic.Int64 // connections closed for silence in either direction
+	Heartbeats          atomic.Int64 // sent frames without content
+	ClosedSilent        atomic.Int64 // connections closed as silent in either direction
 }
--- a/internal/session/pulse.go
+++ b/internal/session/pulse.go
@@ -5,152 +5,156 @@
 	"time"
 )
 
-// pulse follows the signs of life of a connection, and decides when a heartbeat is
-// due and when the connection counts as silent.
+// liveness tracks the frames and acknowledgements of a connection, and decides when a
+// heartbeat is due and when the connection counts as silent. It is safe for concurrent use.
 //
-// A connection is active while frames with content have moved lately, in either
-// direction; both ends see the same frames, so both agree. An active connection
-// has work in flight and is watched closely. An idle one is watched loosely: at
-// the design size an entry holds hundreds of connections, and a close watch over
-// all of them would take more than its budget for control traffic. Nothing is lost
-// by it, because the first frame with content makes the connection active, and its
-// loss is noticed as fast as any: within Silent and two heartbeats.
-type pulse struct {
-	o Options
+// A connection is active for Options.ActiveWindow after a frame with content in either
+// direction. Both ends see the same frames, so they agree on it. An active connection has
+// work in flight and uses short intervals. An idle one uses long intervals: at the design
+// size an entry holds hundreds of connections, and short intervals on all of them would
+// exceed its budget for control traffic. This does not delay the detection of lost work,
+// because the first frame with content makes the connection active, and its loss is
+// detected like any other, within SilenceTimeout and two heartbeat intervals.
+type liveness struct {
+	options Options
 
-	mu          sync.Mutex
-	lastSent    uint64 // number of our last frame
-	acked       uint64 // highest number that the peer has heard
-	wroteAt     time.Time
-	heardAt     time.Time
-	activeAt    time.Time // when a frame with content moved last
-	activeSince time.Time // when the present, or last, active time began
-	// waitingSince is when the peer last made progress, or when the first frame it
-	// has not acknowledged was sent, whichever is later.
-	waitingSince time.Time
+	mu            sync.Mutex
+	lastSentSeq   uint64 // number of the last frame sent
+	ackedSeq      uint64 // highest number that the peer has acknowledged
+	lastWriteAt   time.Time
+	lastReceiveAt time.Time
+	lastContentAt time.Time // time of the last frame with content, sent or received
+	activeSince   time.Time // start of the current, or else the latest, active period
+	// unackedSince is the time of the last new acknowledgement, or of sending the first
+	// unacknowledged frame, whichever is later.
+	unackedSince time.Time
 
-	contentSent uint64 // number of our last frame with content
-	// contentSince is the same as waitingSince for frames with content. An
-	// acknowledgement of older frames, still on its way from before a cut, must not
-	// start the time of a frame anew that was lost in it.
-	contentFrom  uint64 // first frame with content that contentSince is about
-	contentSince time.Time
+	lastContentSeq uint64 // number of the last frame with content sent
+	// contentUnackedSince is the equivalent of unackedSince for frames with content. Only
+	// acknowledgements of contentAckFrom or above restart it: one of an older frame, still
+	// in transit from before a loss of connectivity, must not extend the timeout of a
+	// frame that was lost.
+	contentAckFrom      uint64
+	contentUnackedSince time.Time
 }
 
-func newPulse(o Options, now time.Time) *pulse {
-	return &pulse{o: o, heardAt: now, activeAt: now, activeSince: now}
+func newLiveness(o Options, now time.Time) *liveness {
+	return &liveness{options: o, lastReceiveAt: now, lastContentAt: now, activeSince: now}
 }
 
-// sending numbers a frame that is about to be written.
-func (p *pulse) sending(now time.Time, content bool) uint64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.noteContent(now, content)
-	if p.acked == p.lastSent {
-		p.waitingSince = now
+// recordSend records a frame that is about to be written and returns its number.
+func (l *liveness) recordSend(now time.Time, content bool) uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.recordContent(now, content)
+	if l.ackedSeq == l.lastSentSeq {
+		l.unackedSince = now
 	}
-	p.wroteAt = now
-	p.lastSent++
+	l.lastWriteAt = now
+	l.lastSentSeq++
 	if content {
-		if p.acked >= p.contentSent {
-			p.contentFrom, p.contentSince = p.lastSent, now
+		if l.ackedSeq >= l.lastContentSeq {
+			l.contentAckFrom, l.contentUnackedSince = l.lastSentSeq, now
 		}
-		p.contentSent = p.lastSent
+		l.lastContentSeq = l.lastSentSeq
 	}
-	return p.lastSent
+	return l.lastSentSeq
 }
 
-// heard takes a frame of the peer that acknowledges ours up to ack, and reports
-// whether the connection was idle and is active now. A number that goes back, or
-// that was never sent, is a *SequenceError.
-func (p *pulse) heard(now time.Time, ack uint64, content bool) (woken bool, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if ack < p.acked {
-		return false, &SequenceError{Want: p.acked, Got: ack}
+// recordReceive records a received frame that acknowledges sent frames up to ack, and
+// reports whether it made an idle connection active. An ack below an earlier one, or above
+// the last frame sent, is a *SequenceError.
+func (l *liveness) recordReceive(now time.Time, ack uint64, content bool) (activated bool, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if ack < l.ackedSeq {
+		return false, &SequenceError{Want: l.ackedSeq, Got: ack}
 	}
-	if ack > p.lastSent {
-		return false, &SequenceError{Want: p.lastSent, Got: ack}
+	if ack > l.lastSentSeq {
+		return false, &SequenceError{Want: l.lastSentSeq, Got: ack}
 	}
-	if ack > p.acked {
-		p.acked = ack
-		p.waitingSince = now
-		if ack >= p.contentFrom {
-			p.contentFrom, p.contentSince = ack+1, now
+	if ack > l.ackedSeq {
+		l.ackedSeq = ack
+		l.unackedSince = now
+		if ack >= l.contentAckFrom {
+			l.contentAckFrom, l.contentUnackedSince = ack+1, now
 		}
 	}
-	p.heardAt = now
-	return p.noteContent(now, content), nil
+	l.lastReceiveAt = now
+	return l.recordContent(now, content), nil
 }
 
-func (p *pulse) noteContent(now time.Time, content bool) (woken bool) {
+func (l *liveness) recordContent(now time.Time, content bool) (activated bool) {
 	if !content {
 		return false
 	}
-	if !p.active(now) {
-		p.activeSince = now
-		woken = true
+	if !l.isActive(now) {
+		l.activeSince = now
+		activated = true
 	}
-	p.activeAt = now
-	return woken
+	l.lastContentAt = now
+	return activated
 }
 
-func (p *pulse) active(now time.Time) bool { return now.Sub(p.activeAt) < p.o.ActiveWindow }
+func (l *liveness) isActive(now time.Time) bool {
+	return now.Sub(l.lastContentAt) < l.options.ActiveWindow
+}
 
-// heartbeatDue reports whether an empty frame should go out. None does before the
-// first frame, which opens the session.
-func (p *pulse) heartbeatDue(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.lastSent > 0 && !now.Before(p.wroteAt.Add(p.heartbeat(now)))
+// heartbeatDue reports whether a frame without content should be sent. None is sent before
+// the first frame, which opens the session.
+func (l *liveness) heartbeatDue(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lastSentSeq > 0 && !now.Before(l.lastWriteAt.Add(l.heartbeatInterval(now)))
 }
 
-// heartbeat is the longest pause between our frames. It stays short for a while
-// after the active time, since the peer's may end a little later.
-func (p *pulse) heartbeat(now time.Time) time.Duration {
-	if now.Sub(p.activeAt) < p.o.ActiveWindow+p.o.IdleHeartbeatInterval {
-		return p.o.HeartbeatInterval
+// heartbeatInterval returns the longest pause between two sent frames. It stays short for
+// IdleHeartbeatInterval after the active period, because that of the peer may end slightly
+// later.
+func (l *liveness) heartbeatInterval(now time.Time) time.Duration {
+	if now.Sub(l.lastContentAt) < l.options.ActiveWindow+l.options.IdleHeartbeatInterval {
+		return l.options.HeartbeatInterval
 	}
-	return p.o.IdleHeartbeatInterval
+	return l.options.IdleHeartbeatInterval
 }
 
-// silence returns why the connection must be given up, or "".
-func (p *pulse) silence(now time.Time) Reason {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	limit := p.limit(now)
-	if now.Sub(later(p.heardAt, p.activeSince)) > limit {
+// timeoutReason returns the reason to close the connection as silent, or "".
+func (l *liveness) timeoutReason(now time.Time) Reason {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limit := l.silenceTimeout(now)
+	if now.Sub(later(l.lastReceiveAt, l.activeSince)) > limit {
 		return ReasonSilent
 	}
-	// The one-directional cut: the peer's heartbeats still come in, so silence never
-	// shows here, but nothing of ours gets there, and starts and answers would be
-	// lost for as long as the connection is kept.
-	if p.lastSent > p.acked && now.Sub(later(p.waitingSince, p.activeSince)) > limit {
+	// Connectivity may be lost in one direction only. The peer's heartbeats still arrive,
+	// but it receives no frames, so starts and answers would be lost for as long as the
+	// connection stays open.
+	if l.lastSentSeq > l.ackedSeq && now.Sub(later(l.unackedSince, l.activeSince)) > limit {
 		return ReasonUnacknowledged
 	}
-	if p.contentSent > p.acked && now.Sub(p.contentSince) > p.o.SilenceTimeout {
-		return ReasonUnacknowledged // whether or not the connection is active
+	if l.lastContentSeq > l.ackedSeq && now.Sub(l.contentUnackedSince) > l.options.SilenceTimeout {
+		return ReasonUnacknowledged // also on an idle connection
 	}
 	return ""
 }
 
-func (p *pulse) limit(now time.Time) time.Duration {
-	if p.active(now) {
-		return p.o.SilenceTimeout
+func (l *liveness) silenceTimeout(now time.Time) time.Duration {
+	if l.isActive(now) {
+		return l.options.SilenceTimeout
 	}
-	return p.o.IdleSilenceTimeout
+	return l.options.IdleSilenceTimeout
 }
 
-// nextLook is how long the writer may sleep before it looks again.
-func (p *pulse) nextLook(now time.Time) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	untilHeartbeat := p.wroteAt.Add(p.heartbeat(now)).Sub(now)
-	if p.lastSent == 0 {
-		untilHeartbeat = p.o.HeartbeatInterval
+// nextCheckIn returns the time after which the writer must check the connection again.
+func (l *liveness) nextCheckIn(now time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	untilHeartbeat := l.lastWriteAt.Add(l.heartbeatInterval(now)).Sub(now)
+	if l.lastSentSeq == 0 {
+		untilHeartbeat = l.options.HeartbeatInterval
 	}
-	// Silence is looked for at each heartbeat at least, so it is found at most one
-	// heartbeat late.
+	// Silence is checked at least once per heartbeat interval, so it is detected at most
+	// one interval late.
 	return max(untilHeartbeat, time.Millisecond)
 }
 
--- a/internal/session/pulse_test.go
+++ b/internal/session/pulse_test.go
@@ -10,14 +10,14 @@
 
 const simStep = 10 * time.Millisecond
 
-// simEnd is one end of a simulated connection, with the writer's rules.
+// simEnd is one end of a simulated connection. It follows the same rules as Conn.write.
 type simEnd struct {
-	*pulse
-	in       []simFrame // under way to this end, in order
-	heardSeq uint64
-	look     time.Time
-	lost     bool // what this end sends vanishes
-	peer     *simEnd
+	*liveness
+	in          []simFrame // in transit to this end, in order
+	receivedSeq uint64
+	nextCheckAt time.Time
+	dropsSends  bool // frames that this end sends are lost
+	peer        *simEnd
 }
 
 type simFrame struct {
@@ -28,14 +28,14 @@
 
 func newSim(now time.Time) (a, b *simEnd) {
 	o := Options{}.withDefaults()
-	a, b = &simEnd{pulse: newPulse(o, now), look: now}, &simEnd{pulse: newPulse(o, now), look: now}
+	a, b = &simEnd{liveness: newLiveness(o, now), nextCheckAt: now}, &simEnd{liveness: newLiveness(o, now), nextCheckAt: now}
 	a.peer, b.peer = b, a
 	return a, b
 }
 
 func (e *simEnd) send(now time.Time, content bool, latency time.Duration) {
-	f := simFrame{seq: e.sending(now, content), ack: e.heardSeq, content: content, at: now.Add(latency)}
-	if e.lost {
+	f := simFrame{seq: e.recordSend(now, content), ack: e.receivedSeq, content: content, at: now.Add(latency)}
+	if e.dropsSends {
 		return
 	}
 	if n := len(e.peer.in); n > 0 && f.at.Before(e.peer.in[n-1].at) {
@@ -44,39 +44,39 @@
 	e.peer.in = append(e.peer.in, f)
 }
 
-// step delivers what has arrived, sends, and returns why this end gives up, or "".
+// step delivers arrived frames, sends, and returns the reason to close the connection, or "".
 func (e *simEnd) step(now time.Time, content bool, latency time.Duration) Reason {
-	woken := false
+	activated := false
 	for len(e.in) > 0 && !e.in[0].at.After(now) {
 		f := e.in[0]
 		e.in = e.in[1:]
-		w, err := e.heard(now, f.ack, f.content)
+		w, err := e.recordReceive(now, f.ack, f.content)
 		if err != nil {
 			return ReasonFrame
 		}
-		woken = woken || w
-		e.heardSeq = f.seq
+		activated = activated || w
+		e.receivedSeq = f.seq
 	}
-	if !content && !woken && now.Before(e.look) {
+	if !content && !activated && now.Before(e.nextCheckAt) {
 		return ""
 	}
 	if content || e.heartbeatDue(now) {
 		e.send(now, content, latency)
 	}
-	e.look = now.Add(e.nextLook(now))
-	return e.silence(now)
+	e.nextCheckAt = now.Add(e.nextCheckIn(now))
+	return e.timeoutReason(now)
 }
 
-// Traffic comes in spells with idle times between, over a path that is slow at
-// times but loses nothing. A connection given up all the same would cost every
-// attempt on it a round of questions, and under load again and again.
-func TestNoConnectionIsGivenUpWithoutALoss(t *testing.T) {
+// Bursts of traffic alternate with idle periods, over a path with varying latency that loses no
+// frame. If the connection were closed nevertheless, the state of every attempt on it would
+// have to be queried, under load repeatedly.
+func TestConnectionWithoutLossStaysOpen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(0)
 		a, b := newSim(now)
 		a.send(now, true, 0)
 		b.send(now, true, 0)
-		for range rapid.IntRange(1, 8).Draw(t, "spells") {
+		for range rapid.IntRange(1, 8).Draw(t, "bursts") {
 			busy := rapid.IntRange(0, 30).Draw(t, "busy steps")
 			idle := rapid.IntRange(0, 2000).Draw(t, "idle steps")
 			latency := time.Duration(rapid.IntRange(0, 200).Draw(t, "latency ms")) * time.Millisecond
@@ -85,7 +85,7 @@
 				now = now.Add(simStep)
 				for _, r := range []Reason{a.step(now, fromA && i < busy, latency), b.step(now, fromB && i < busy, latency)} {
 					if r != "" {
-						t.Fatalf("given up for %q at %s", r, now.Sub(time.UnixMilli(0)))
+						t.Fatalf("closed for %q at %s", r, now.Sub(time.UnixMilli(0)))
 					}
 				}
 			}
@@ -93,20 +93,20 @@
 	})
 }
 
-// A path loses one direction, or both, at any moment, and a frame with content is
-// sent into it then or later. The sender must notice within a second and a half, or
-// the task that the frame starts, or the result that it carries, waits in the dark.
-func TestALostFrameIsNoticedSoon(t *testing.T) {
+// A path fails in one direction or both at any time, and a frame with content is sent then or
+// later. The sender must detect the loss within 1.5 s. Otherwise the task that the frame
+// starts, or the result that it carries, is delayed without anyone knowing.
+func TestLostFrameIsDetectedWithinTheTimeout(t *testing.T) {
 	o := Options{}.withDefaults()
-	// One heartbeat may still acknowledge content from before the cut, and the writer
-	// looks once a heartbeat.
+	// One heartbeat may still acknowledge content from before the failure, and the writer
+	// checks once per heartbeat interval.
 	allowed := o.SilenceTimeout + 2*o.HeartbeatInterval + 2*simStep
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(0)
 		a, b := newSim(now)
 		a.send(now, true, 0)
 		b.send(now, true, 0)
-		run := func(steps int) (gaveUp bool) {
+		run := func(steps int) (closed bool) {
 			for range steps {
 				now = now.Add(simStep)
 				if a.step(now, false, time.Millisecond) != "" {
@@ -117,24 +117,25 @@
 			return false
 		}
 		run(rapid.IntRange(0, 2000).Draw(t, "steps before"))
-		a.lost, b.lost = true, rapid.Bool().Draw(t, "both directions")
+		a.dropsSends, b.dropsSends = true, rapid.Bool().Draw(t, "both directions")
 		if run(rapid.IntRange(0, 2000).Draw(t, "steps after")) {
-			return // noticed before anything was sent
+			return // detected before anything was sent
 		}
 		sent := now
 		a.send(now, true, 0)
-		a.look = now
+		a.nextCheckAt = now
 		if !run(2000) {
-			t.Fatal("never noticed")
+			t.Fatal("never detected")
 		}
 		if took := now.Sub(sent); took > allowed {
-			t.Fatalf("noticed after %s", took)
+			t.Fatalf("detected after %s", took)
 		}
 	})
 }
 
-// The two ends of an idle connection cost the budget for control traffic.
-func TestIdleConnectionsAreQuiet(t *testing.T) {
+// Guards against an idle connection that exceeds the budget for control traffic: each end sends
+// one heartbeat per two seconds.
+func TestIdleConnectionSendsOnlyIdleHeartbeats(t *testing.T) {
 	g := NewWithT(t)
 	now := time.UnixMilli(0)
 	a, b := newSim(now)
@@ -148,7 +149,7 @@
 		}
 	}
 	step(10 * time.Second)
-	before := a.lastSent
+	before := a.lastSentSeq
 	step(100 * time.Second)
-	g.Expect(a.lastSent - before).To(BeNumerically("~", 50, 1))
+	g.Expect(a.lastSentSeq - before).To(BeNumerically("~", 50, 1))
 }
--- a/internal/session/queue.go
+++ b/internal/session/queue.go
@@ -2,10 +2,11 @@
 
 import "sync"
 
-// queue holds frames between their senders and the writing goroutine. It is
-// bounded by estimated bytes and not by frames, whose sizes differ a thousandfold.
+// queue is the send queue of a connection, drained by the writing goroutine. It is bounded
+// by estimated bytes and not by the number of frames, because frame sizes differ by a
+// factor of a thousand.
 type queue[T any] struct {
-	ready chan struct{} // holds one token while the writer should look
+	ready chan struct{} // holds a token while the writer has a frame to write or a check to make
 
 	mu     sync.Mutex
 	frames []*T
@@ -18,23 +19,24 @@
 	return &queue[T]{ready: make(chan struct{}, 1), limit: limit}
 }
 
-// push reports false when the queue is full. A closed queue swallows the frame.
-func (q *queue[T]) push(f *T, weight int) bool {
+// push appends a frame of the given estimated size in bytes, and reports false if the queue is
+// full. A closed queue drops the frame and reports true.
+func (q *queue[T]) push(f *T, size int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closed {
 		return true
 	}
-	if q.bytes+weight > q.limit {
+	if q.bytes+size > q.limit {
 		return false
 	}
 	q.frames = append(q.frames, f)
-	q.bytes += weight
+	q.bytes += size
 	q.wake()
 	return true
 }
 
-// wake makes the writing goroutine look, whether or not a frame waits.
+// wake wakes the writing goroutine, even if the queue is empty.
 func (q *queue[T]) wake() {
 	select {
 	case q.ready <- struct{}{}:
@@ -42,8 +44,8 @@
 	}
 }
 
-// take empties the queue.
-func (q *queue[T]) take() []*T {
+// drain removes and returns all frames.
+func (q *queue[T]) drain() []*T {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	frames := q.frames
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -23,14 +23,14 @@
 	RunSpecs(t, "session")
 }
 
-var quick = session.Options{HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond}
+var fastOptions = session.Options{HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond}
 
-// entrySide accepts agents and answers each frame that carries reports with their numbers as acks.
+// entrySide accepts agents and acknowledges each of their reports.
 type entrySide struct {
 	server *httptest.Server
 	conns  chan *session.ToAgentConn
 	ended  chan error
-	gate   chan struct{} // when not nil, reports wait for it to be closed
+	gate   chan struct{} // if not nil, reports block until it is closed
 }
 
 func newEntrySide(o session.Options) *entrySide {
@@ -60,7 +60,7 @@
 
 func (e *entrySide) addr() string { return strings.TrimPrefix(e.server.URL, "http://") }
 
-// agentSide dials and is welcomed; acks arrive in order on the channel.
+// agentSide dials and waits for the Welcome. The channel acks receives acknowledgements in order.
 func agentSide(addr string, o session.Options) (conn *session.ToEntryConn, acks chan uint64, ended chan error) {
 	c, err := session.Dial(context.Background(), addr, o)
 	Expect(err).NotTo(HaveOccurred())
@@ -90,11 +90,11 @@
 }
 
 var _ = Describe("a connection", func() {
-	It("delivers frames in order and lives through idle times on heartbeats", func() {
+	It("delivers frames in order and stays open by heartbeats while idle", func() {
 		var counters session.Counters
-		o := quick
+		o := fastOptions
 		o.Counters = &counters
-		entry := newEntrySide(quick)
+		entry := newEntrySide(fastOptions)
 		conn, acks, ended := agentSide(entry.addr(), o)
 		for i := uint64(1); i <= 500; i++ {
 			conn.Send(&wire.ToEntry{Reports: []wire.Report{{Seq: i, Result: make([]byte, int(i)*40)}}})
@@ -102,7 +102,7 @@
 		for i := uint64(1); i <= 500; i++ {
 			Eventually(acks).Should(Receive(Equal(i)))
 		}
-		Consistently(ended, 3*quick.SilenceTimeout).ShouldNot(Receive())
+		Consistently(ended, 3*fastOptions.SilenceTimeout).ShouldNot(Receive())
 		Expect(counters.Heartbeats.Load()).To(BeNumerically(">", 0))
 		Expect(counters.FramesIn.Load()).To(BeNumerically(">", 500))
 		Expect(counters.BytesOut.Load()).To(BeNumerically(">", 500*500/2*40))
@@ -112,46 +112,46 @@
 		Eventually(entry.ended).Should(Receive(WithTransform(reasonOf, Equal(session.ReasonPeer))))
 	})
 
-	// A device between the two hosts forgets the connection. Both TCP ends believe
-	// it open, so without messages of our own a started task's result would wait
-	// for minutes and the caller would miss its deadline.
-	It("ends when bytes vanish in both directions, while a new one works", func() {
-		entry := newEntrySide(quick)
+	// A middlebox drops the connection's state. Both TCP ends regard it as open, so
+	// without application heartbeats the result of a started task would be delayed for
+	// minutes and the caller would miss its deadline.
+	It("ends when packets are dropped in both directions, and a new connection works", func() {
+		entry := newEntrySide(fastOptions)
 		r := startRelay(entry.addr())
-		_, _, ended := agentSide(r.Addr(), quick)
+		_, _, ended := agentSide(r.Addr(), fastOptions)
 		r.Cut(true, true)
-		// Each side may notice first that it hears nothing or that it is not heard.
+		// Either side may first detect missing frames or missing acknowledgements.
 		noticed := WithTransform(reasonOf, Or(Equal(session.ReasonSilent), Equal(session.ReasonUnacknowledged)))
 		Eventually(ended, "5s").Should(Receive(noticed))
 		Eventually(entry.ended, "5s").Should(Receive(noticed))
 
-		again, acks, _ := agentSide(r.Addr(), quick)
+		again, acks, _ := agentSide(r.Addr(), fastOptions)
 		again.Send(&wire.ToEntry{Reports: []wire.Report{{Seq: 8}}})
 		Eventually(acks, "5s").Should(Receive(Equal(uint64(8))))
 	})
 
-	// Bytes vanish in one direction only. The side whose frames are lost goes on
-	// hearing the other's heartbeats, so it must notice that it is not heard: an
-	// agent would otherwise hold results, or an entry starts, that never arrive.
-	// The deaf side is given all the time of the world here, to see the other act.
-	It("ends when the agent's frames vanish and the entry's arrive", func() {
-		entry := newEntrySide(session.Options{HeartbeatInterval: quick.HeartbeatInterval, SilenceTimeout: time.Minute})
+	// Packets are dropped in one direction only. The side whose frames are lost still
+	// receives heartbeats, so it must detect the missing acknowledgements. Otherwise an
+	// agent's results, or an entry's starts, would never arrive. The receiving side has a
+	// timeout of a minute here, so that only the sending side can close the connection.
+	It("ends when the agent's frames are lost and the entry's arrive", func() {
+		entry := newEntrySide(session.Options{HeartbeatInterval: fastOptions.HeartbeatInterval, SilenceTimeout: time.Minute})
 		r := startRelay(entry.addr())
-		_, _, ended := agentSide(r.Addr(), quick)
+		_, _, ended := agentSide(r.Addr(), fastOptions)
 		r.Cut(true, false)
 		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnacknowledged))))
 	})
-	It("ends when the entry's frames vanish and the agent's arrive", func() {
-		entry := newEntrySide(quick)
+	It("ends when the entry's frames are lost and the agent's arrive", func() {
+		entry := newEntrySide(fastOptions)
 		r := startRelay(entry.addr())
-		agentSide(r.Addr(), session.Options{HeartbeatInterval: quick.HeartbeatInterval, SilenceTimeout: time.Minute})
+		agentSide(r.Addr(), session.Options{HeartbeatInterval: fastOptions.HeartbeatInterval, SilenceTimeout: time.Minute})
 		Eventually(entry.conns).Should(Receive())
 		r.Cut(false, true)
 		Eventually(entry.ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnacknowledged))))
 	})
 
-	// A connection with nothing to do is watched loosely, and the path forgets it
-	// meanwhile. The first start sent over it then must not wait for the loose watch.
+	// An idle connection has long timeouts, and its path fails meanwhile. The loss of the
+	// first start sent over it must be detected within the short timeout.
 	It("ends soon after the first frame that is lost on an idle connection", func() {
 		o := session.Options{HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond, ActiveWindow: 50 * time.Millisecond,
 			IdleHeartbeatInterval: 50 * time.Millisecond, IdleSilenceTimeout: time.Minute}
@@ -165,9 +165,9 @@
 		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Not(Equal(session.ReasonLocal)))))
 	})
 
-	// A peer reads, but more slowly than frames are made for it. Without a bound
-	// the queue for this one peer would take the memory of the whole process.
-	It("ends when more waits than the queue may hold", func() {
+	// A peer reads more slowly than frames are queued for it. Without a bound, the queue
+	// for this one peer would exhaust the memory of the process.
+	It("ends when the send queue exceeds its bound", func() {
 		entry := newEntrySide(session.Options{SilenceTimeout: time.Minute})
 		entry.gate = make(chan struct{})
 		DeferCleanup(func() { close(entry.gate) })
@@ -178,8 +178,8 @@
 		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonOverflow))))
 	})
 
-	// A peer of another build, or none of ours at all, sends what can't be
-	// understood. Half understanding it could start or settle the wrong attempt.
+	// A peer of another version, or a foreign client, sends invalid frames. Decoding one
+	// in part could start or settle the wrong attempt.
 	DescribeTable("ends on a malformed frame", func(messages ...[]byte) {
 		entry := newEntrySide(session.Options{MaxFrameBytes: 1000})
 		ws, _, err := websocket.DefaultDialer.Dial("ws://"+entry.addr()+session.Path, nil)
@@ -190,11 +190,11 @@
 		}
 		Eventually(entry.ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonFrame))))
 	},
-		Entry("that is no CBOR", []byte("GET / HTTP/1.1")),
+		Entry("that is not CBOR", []byte("GET / HTTP/1.1")),
 		Entry("with an unknown field", []byte("\xa3\x01\x01\x02\x00\x18\x63\x01")),
-		Entry("with a number that was left out", encoded(&wire.ToEntry{Seq: 1}), encoded(&wire.ToEntry{Seq: 3})),
-		Entry("with a number that came before", encoded(&wire.ToEntry{Seq: 1}), encoded(&wire.ToEntry{Seq: 1})),
-		Entry("that acknowledges what was never sent", encoded(&wire.ToEntry{Seq: 1, AckSeq: 5})),
+		Entry("that skips a sequence number", encoded(&wire.ToEntry{Seq: 1}), encoded(&wire.ToEntry{Seq: 3})),
+		Entry("that repeats a sequence number", encoded(&wire.ToEntry{Seq: 1}), encoded(&wire.ToEntry{Seq: 1})),
+		Entry("that acknowledges a frame that was never sent", encoded(&wire.ToEntry{Seq: 1, AckSeq: 5})),
 		Entry("that is too large", encoded(&wire.ToEntry{Seq: 1, Config: make([]byte, 2000)})),
 	)
 })
