--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -130,7 +130,7 @@
 	h.Expect(h.orderCount()).To(Equal(4))
 	h.Expect(again.answers).To(BeEmpty())
 	for id, list := range h.sentOrders() {
-		h.Expect(list[1].Run).To(BeNumerically(">", list[0].Run), "agent %d", id)
+		h.Expect(list[1].RunNumber).To(BeNumerically(">", list[0].RunNumber), "agent %d", id)
 	}
 }
 
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -81,7 +81,7 @@
 	slack := clock.Millis(l.objective.Sub(c.now)) - clock.Millis(l.criticalPaths[0])
 	cand := earliest.Candidate{
 		Free: a.load.Free, Total: a.target.Capacity, WaitMs: a.load.WaitMs[horizonIndex(slack)],
-		Speed: max(a.load.Speed, minSpeed), RoundTripMs: roundTripMs, FailureRate: a.load.FailedRate,
+		Speed: max(a.load.Speed, minSpeed), RoundTripMs: roundTripMs, FailureRate: a.load.FailureRate,
 	}
 	for i := range a.uncounted {
 		cand.Reserve(a.uncounted[i].task, a.uncounted[i].index)
@@ -200,7 +200,7 @@
 	pathMs := clock.Millis(l.criticalPaths[t.step]) / max(a.load.Speed, minSpeed)
 	slackMs, giveUpMs := c.waitLimits(l, pathMs)
 	a.outgoing.Orders = append(a.outgoing.Orders, wire.Order{
-		Seq: at.seq, Job: l.ID, Step: t.step, Index: t.index, Run: at.run, Spec: l.Spec,
+		Seq: at.seq, Job: l.ID, Step: t.step, Index: t.index, RunNumber: at.run, Spec: l.Spec,
 		Demand: s.Demand, EstimateMs: clock.Millis(s.Estimate),
 		SlackMs: int64(slackMs), MaxWaitMs: int64(giveUpMs), TimeoutMs: l.Deadline.Sub(c.now).Milliseconds(),
 		Movable: t.crowdedReturns < maxCrowdedReturns, ExpectedWaitMs: choice.StartMs, IgnoresCapacity: !l.Queue.EnforcesCapacity,
--- a/internal/dispatch/sessions.go
+++ b/internal/dispatch/sessions.go
@@ -85,7 +85,7 @@
 func (c *Core) updateLoad(a *agent, load *wire.Load) {
 	if load.Down != a.load.Down || load.Leaving != a.load.Leaving {
 		event.Log(c.log, event.AgentRated, "host", a.host, "target", a.targetName(), "down", load.Down, "leaving", load.Leaving,
-			"speed", load.Speed, "failed_rate", load.FailedRate)
+			"speed", load.Speed, "failed_rate", load.FailureRate)
 	}
 	if load.Down && !a.load.Down {
 		a.downSince = c.now
--- a/internal/runs/bench_test.go
+++ b/internal/runs/bench_test.go
@@ -22,7 +22,7 @@
 	t.Renewed(now, now, call, Listing{ClockMs: 5000})
 	t.Connect(now, 1)
 	order := func(i int) {
-		t.Receive(now, 1, &wire.LeasedToAgent{Orders: []wire.Order{{Seq: uint64(i + 1), Job: fmt.Sprint(i), Run: 1,
+		t.Receive(now, 1, &wire.LeasedToAgent{Orders: []wire.Order{{Seq: uint64(i + 1), Job: fmt.Sprint(i), RunNumber: 1,
 			Demand: job.Demand{CPUMilli: 5000}, EstimateMs: 60, SlackMs: 100, MaxWaitMs: 200, TimeoutMs: 60_000}}})
 	}
 	for i := range 10 {
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -143,7 +143,7 @@
 	h.renewWith() // draws the token
 	h.renewWith()
 	h.Connect(h.now, testConn)
-	order := wire.Order{Seq: 1, Job: "a", Run: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 100, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000, IgnoresCapacity: true}
+	order := wire.Order{Seq: 1, Job: "a", RunNumber: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 100, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000, IgnoresCapacity: true}
 	h.Receive(h.now, testConn, &wire.LeasedToAgent{Orders: []wire.Order{order}})
 	h.Expect(h.target.starts).To(BeEmpty())
 	h.announce(1, false)
--- a/internal/runs/harness_test.go
+++ b/internal/runs/harness_test.go
@@ -67,7 +67,7 @@
 // sendOrder sends an order for 4 cores.
 func (h *harness) sendOrder(conn ConnID, seq uint64, task Task, run uint64) {
 	h.Receive(h.now, conn, &wire.LeasedToAgent{Orders: []wire.Order{{
-		Seq: seq, Job: task.Job, Step: task.Step, Index: task.Index, Run: run, Demand: job.Demand{CPUMilli: 4000},
+		Seq: seq, Job: task.Job, Step: task.Step, Index: task.Index, RunNumber: run, Demand: job.Demand{CPUMilli: 4000},
 		EstimateMs: 100, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000,
 	}}})
 }
--- a/internal/runs/load.go
+++ b/internal/runs/load.go
@@ -129,11 +129,11 @@
 // currentLoad returns a load report without the fields of a session.
 func (t *Table) currentLoad() *wire.Load {
 	l := &wire.Load{
-		Speed:      t.effectiveSpeed(),
-		FailedRate: t.health.failedRate,
-		Leaving:    t.draining || t.target.Leaving,
-		Down:       !t.targetKnown || !t.reachable,
-		Rejecting:  t.health.avoided(t.now),
+		Speed:       t.effectiveSpeed(),
+		FailureRate: t.health.failedRate,
+		Leaving:     t.draining || t.target.Leaving,
+		Down:        !t.targetKnown || !t.reachable,
+		Rejecting:   t.health.avoided(t.now),
 	}
 	if !t.targetKnown {
 		return l
--- a/internal/runs/orders.go
+++ b/internal/runs/orders.go
@@ -79,7 +79,7 @@
 	s.lastOrderAt = t.now
 	t.loadChanged = true
 	r := &run{
-		id:            RunID{Task{order.Job, order.Step, order.Index}, order.Run},
+		id:            RunID{Task{order.Job, order.Step, order.Index}, order.RunNumber},
 		session:       s,
 		order:         *order,
 		receivedAt:    t.now,
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -266,7 +266,7 @@
 func TestLostRenewalTimesOutInTime(t *testing.T) {
 	h := newHarness(t)
 	h.Receive(h.now, testConn, &wire.LeasedToAgent{Orders: []wire.Order{{
-		Seq: 1, Job: "a", Run: 7, Demand: job.Demand{CPUMilli: 1000}, EstimateMs: 1500, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000,
+		Seq: 1, Job: "a", RunNumber: 7, Demand: job.Demand{CPUMilli: 1000}, EstimateMs: 1500, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000,
 	}}})
 	h.answerStart(0, Accepted)
 	call, _ := h.NextRenewal(h.now)
@@ -410,7 +410,7 @@
 	h.Connect(h.now, 2)
 	h.sendOrder(testConn, 1, task("a", 0), 7)
 	h.sendOrder(testConn, 2, task("b", 0), 7) // two of four cores each: 2 of 10 are left
-	order := wire.Order{Seq: 1, Job: "c", Run: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 60, SlackMs: 90, MaxWaitMs: 100,
+	order := wire.Order{Seq: 1, Job: "c", RunNumber: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 60, SlackMs: 90, MaxWaitMs: 100,
 		TimeoutMs: 3000, Movable: true}
 	h.Receive(h.now, 2, &wire.LeasedToAgent{Orders: []wire.Order{order}})
 	h.Expect(h.outcomes(2)).To(Equal(map[uint64]wire.RunOutcome{1: {Seq: 1, End: wire.EndNotRun, Reason: wire.NotRunWaitTooLong}}))
--- a/internal/session/pulse_test.go
+++ b/internal/session/pulse_test.go
@@ -76,7 +76,7 @@
 		a, b := newSim(now)
 		a.send(now, true, 0)
 		b.send(now, true, 0)
-		for range rapid.IntRange(1, 8).Draw(t, "bursts") {
+		for range rapid.IntRange(1, 8).Draw(t, "spells") {
 			busy := rapid.IntRange(0, 30).Draw(t, "busy steps")
 			idle := rapid.IntRange(0, 2000).Draw(t, "idle steps")
 			latency := time.Duration(rapid.IntRange(0, 200).Draw(t, "latency ms")) * time.Millisecond
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -5,7 +5,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FrameError is a frame that can't be decoded or encoded.
+// FrameError reports a frame that could not be decoded or encoded. Bytes is the length of a frame
+// that could not be decoded, and 0 otherwise.
 type FrameError struct {
 	Bytes int
 	Cause error
@@ -30,8 +31,8 @@
 	return mode
 }
 
-// newDecoder refuses unknown fields, duplicate keys and deep nesting, so that a
-// frame of another meaning is an error and never half understood.
+// newDecoder returns a mode that rejects unknown fields, duplicate keys and deep nesting, so
+// that a frame of another version is an error and is never decoded in part.
 func newDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -46,10 +47,10 @@
 	return mode
 }
 
-// Encode returns a frame's bytes.
+// Encode returns the CBOR encoding of a frame. The error is a *FrameError.
 func Encode[F ToEntry | ToAgent](f *F) ([]byte, error) {
 	if toAgent, ok := any(f).(*ToAgent); ok {
-		toAgent.Leased.pack()
+		toAgent.Leased.collectSpecs()
 	}
 	b, err := encoder.Marshal(f)
 	if err != nil {
@@ -58,14 +59,14 @@
 	return b, nil
 }
 
-// Decode reads a frame; the error is a *FrameError.
+// Decode decodes a CBOR frame. The error is a *FrameError.
 func Decode[F ToEntry | ToAgent](b []byte) (*F, error) {
 	f := new(F)
 	if err := decoder.Unmarshal(b, f); err != nil {
 		return nil, &FrameError{Bytes: len(b), Cause: err}
 	}
 	if toAgent, ok := any(f).(*ToAgent); ok {
-		if err := toAgent.Leased.unpack(); err != nil {
+		if err := toAgent.Leased.distributeSpecs(); err != nil {
 			return nil, &FrameError{Bytes: len(b), Cause: err}
 		}
 	}
--- a/internal/wire/codec_fuzz_test.go
+++ b/internal/wire/codec_fuzz_test.go
@@ -9,9 +9,9 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// A frame of any bytes arrives on an open connection. It is either refused with a
-// typed error, which closes that connection alone, or it means the same after it
-// has been written and read again.
+// Arbitrary bytes may arrive as a frame. Decoding must either fail with a *FrameError, which
+// closes only that connection, or return a frame that stays the same when encoded and decoded
+// again.
 func FuzzDecode(f *testing.F) {
 	toEntry, err := wire.Encode(&wire.ToEntry{
 		Seq: 3, AckSeq: 2, Hello: &wire.Hello{Version: wire.Version, Incarnation: 9, Worker: "w"},
--- a/internal/wire/leased.go
+++ b/internal/wire/leased.go
@@ -7,231 +7,232 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// The frames of this file are for leased targets: targets that run a task only
-// while their agent renews a lease, with amounts of processor and memory in place
-// of slots. An attempt belongs to the session that ordered it. The agent ends it
-// when the session ends, so nothing of it is asked about on a later connection.
+// The frames in this file are for leased targets: targets that run a task only while their
+// agent renews a lease, and whose capacity is in processor and memory instead of slots. An
+// attempt belongs to the session that ordered it. The agent stops it when the session
+// ends, so later connections don't reconcile it.
 
-// Order asks an agent to run one task on its leased target.
+// Order requests an agent to run one task on its leased target.
 type Order struct {
-	Seq   uint64 `cbor:"1,keyasint"` // rises by one per order of a session
+	Seq   uint64 `cbor:"1,keyasint"` // increases by one per order of a session
 	Job   string `cbor:"2,keyasint"`
 	Step  int    `cbor:"3,keyasint,omitempty"`
 	Index int    `cbor:"4,keyasint,omitempty"`
-	// Run numbers the starts of one task. It must be higher than the number of
-	// every earlier start of the task, by whichever owner.
-	Run        uint64     `cbor:"5,keyasint"`
-	Spec       string     `cbor:"-"`                    // what the target is told; see LeasedToAgent.Specs
-	SpecIndex  int        `cbor:"6,keyasint,omitempty"` // its place in Specs, on the wire alone
+	// RunNumber numbers the starts of one task and fences off earlier ones. It must be
+	// higher than that of every earlier start of the task, by any owner.
+	RunNumber  uint64     `cbor:"5,keyasint"`
+	Spec       string     `cbor:"-"`                    // passed to the target; encoded in LeasedToAgent.Specs
+	SpecIndex  int        `cbor:"6,keyasint,omitempty"` // index in Specs; set and used by the codec only
 	Demand     job.Demand `cbor:"7,keyasint"`
-	EstimateMs float64    `cbor:"8,keyasint"` // at speed 1
-	// SlackMs is how long the task may wait and still be in time; the task with the
-	// least goes first. Times are relative, because the clocks of hosts differ.
+	EstimateMs float64    `cbor:"8,keyasint"` // estimated run time at speed 1
+	// SlackMs is how long the start may be delayed without missing the deadline. The task
+	// with the least slack starts first. Times are relative, because the clocks of hosts
+	// differ.
 	SlackMs int64 `cbor:"9,keyasint"`
-	// MaxWaitMs is how long the task may wait before it comes back as not run.
+	// MaxWaitMs is how long the task may be queued before it is returned as not run.
 	MaxWaitMs int64 `cbor:"10,keyasint"`
-	// TimeoutMs is when the caller stops waiting: the run is stopped then.
+	// TimeoutMs is the time until the caller stops waiting; the run is stopped then.
 	TimeoutMs int64 `cbor:"11,keyasint"`
-	// Movable says that the order is to come back at once where it would wait much longer
-	// than WaitMs, which is what the entry reckons with.
+	// Movable requests that the order is returned at once if its predicted wait is much
+	// longer than ExpectedWaitMs, the wait that the entry assumed when it placed the task.
 	Movable        bool    `cbor:"12,keyasint,omitempty"`
 	ExpectedWaitMs float64 `cbor:"13,keyasint,omitempty"`
-	// IgnoresCapacity says that the target starts whatever it is told to, beyond its capacity too.
+	// IgnoresCapacity states that the target starts every task, even beyond its capacity.
 	IgnoresCapacity bool `cbor:"14,keyasint,omitempty"`
 }
 
-// RunEnd says how an order ended.
+// RunEnd is the result of an order.
 type RunEnd uint8
 
-// Ends of an order.
+// Results of an order.
 const (
-	EndNotRun  RunEnd = 1 // it never started and never will
+	EndNotRun  RunEnd = 1 // it has not started and never will
 	EndDone    RunEnd = 2
-	EndFailed  RunEnd = 3 // the task, or the target, failed it
-	EndStopped RunEnd = 4 // it may have started and certainly runs no more
+	EndFailed  RunEnd = 3 // the task or the target reported failure
+	EndStopped RunEnd = 4 // it may have started and is certainly not running any more
 )
 
-// NotRunReason says why an order came back.
+// NotRunReason is the reason why an order was returned without a run.
 type NotRunReason uint8
 
 // Reasons for EndNotRun.
 const (
 	NotRunNone           NotRunReason = 0
 	NotRunRecalled       NotRunReason = 1
-	NotRunExpired        NotRunReason = 2  // it waited longer than MaxWaitMs
-	NotRunLeaving        NotRunReason = 3  // the target or the agent takes no new work
-	NotRunDown           NotRunReason = 4  // the target does not answer
-	NotRunRejected       NotRunReason = 5  // the target turned it away
-	NotRunStale          NotRunReason = 6  // its run number is below an earlier one
-	NotRunTooLarge       NotRunReason = 7  // larger than the target
-	NotRunNoAnswer       NotRunReason = 8  // the start was not answered, and is fenced off
-	NotRunAlreadyRunning NotRunReason = 9  // another run of the task is not over at the agent
-	NotRunWaitTooLong    NotRunReason = 10 // it was movable, and would have waited too long
+	NotRunExpired        NotRunReason = 2  // it was queued for longer than MaxWaitMs
+	NotRunLeaving        NotRunReason = 3  // the target or the agent accepts no new work
+	NotRunDown           NotRunReason = 4  // the target does not respond
+	NotRunRejected       NotRunReason = 5  // the target rejected the start
+	NotRunStale          NotRunReason = 6  // its run number is below that of an earlier start
+	NotRunTooLarge       NotRunReason = 7  // its demand exceeds the target's capacity
+	NotRunNoAnswer       NotRunReason = 8  // the target did not answer the start, and a stop has fenced it off
+	NotRunAlreadyRunning NotRunReason = 9  // the agent has another unfinished run of the task
+	NotRunWaitTooLong    NotRunReason = 10 // it was movable, and its predicted wait was too long
 	NotRunEvacuated      NotRunReason = 11 // its data centre is evacuated
 )
 
-// RunOutcome reports the end of an order.
+// RunOutcome reports the result of an order.
 type RunOutcome struct {
 	Seq    uint64       `cbor:"1,keyasint"`
 	End    RunEnd       `cbor:"2,keyasint"`
 	Reason NotRunReason `cbor:"3,keyasint,omitempty"`
-	RunMs  float64      `cbor:"4,keyasint,omitempty"` // time at the target
-	WaitMs float64      `cbor:"5,keyasint,omitempty"` // time in the agent's queue
+	RunMs  float64      `cbor:"4,keyasint,omitempty"` // run time at the target
+	WaitMs float64      `cbor:"5,keyasint,omitempty"` // time queued at the agent
 }
 
-// LeasedTarget describes one life of a target.
+// LeasedTarget describes one incarnation of a target.
 type LeasedTarget struct {
-	Name     string     `cbor:"1,keyasint"` // new in each life
+	Name     string     `cbor:"1,keyasint"` // unique to the incarnation
 	Service  string     `cbor:"2,keyasint"`
 	Labels   []string   `cbor:"3,keyasint,omitempty"`
 	Capacity job.Demand `cbor:"4,keyasint"`
-	// DataCentre is where the target says it is; empty: where its agent is.
+	// DataCentre is announced by the target. If empty, the agent's data centre applies.
 	DataCentre string `cbor:"5,keyasint,omitempty"`
 }
 
-// SlackHorizonsMs are the slacks, in milliseconds, for which an agent predicts waits: a
-// task with little slack overtakes those with more, so its wait is shorter. The
-// figures part tasks of tens, of hundreds and of more milliseconds.
+// SlackHorizonsMs are the slacks for which an agent predicts queue waits. A task with
+// little slack overtakes those with more, so it waits for a shorter time. The values
+// separate tasks of tens, of hundreds and of more milliseconds.
 var SlackHorizonsMs = [...]float64{120, 400, 1 << 30}
 
-// Load is what an agent's target can take.
+// Load is the load of an agent's target, as reported to the entries.
 type Load struct {
-	LastSeq    uint64                        `cbor:"1,keyasint"` // highest order of this session that is counted in
-	Free       job.Demand                    `cbor:"2,keyasint"`
-	WaitMs     [len(SlackHorizonsMs)]float64 `cbor:"3,keyasint"` // predicted wait of a usual task, by SlackHorizonsMs
-	Speed      float64                       `cbor:"4,keyasint"` // measured, 1 where a task takes its estimate
-	FailedRate float64                       `cbor:"5,keyasint,omitempty"`
-	Leaving    bool                          `cbor:"6,keyasint,omitempty"`
-	Down       bool                          `cbor:"7,keyasint,omitempty"` // the target does not answer
-	Rejecting  bool                          `cbor:"8,keyasint,omitempty"` // it turns starts away; what runs goes on
+	LastSeq     uint64                        `cbor:"1,keyasint"` // highest order of this session that the load includes
+	Free        job.Demand                    `cbor:"2,keyasint"`
+	WaitMs      [len(SlackHorizonsMs)]float64 `cbor:"3,keyasint"` // predicted queue wait of a typical task, by SlackHorizonsMs
+	Speed       float64                       `cbor:"4,keyasint"` // measured; 1 if tasks take their estimated time
+	FailureRate float64                       `cbor:"5,keyasint,omitempty"`
+	Leaving     bool                          `cbor:"6,keyasint,omitempty"`
+	Down        bool                          `cbor:"7,keyasint,omitempty"` // the target does not respond
+	Rejecting   bool                          `cbor:"8,keyasint,omitempty"` // it rejects starts; running tasks continue
 }
 
-// ConfigNote passes the operator's configuration between processes. A process
-// announces the version it has; whoever lags asks for the body.
+// ConfigNote distributes the operator's configuration between processes. A process
+// announces its version, and a peer with an older version requests the body.
 type ConfigNote struct {
-	Version  uint64 `cbor:"1,keyasint"` // in force at the sender
+	Version  uint64 `cbor:"1,keyasint"` // version in force at the sender
 	WantBody bool   `cbor:"2,keyasint,omitempty"`
-	Body     []byte `cbor:"3,keyasint,omitempty"` // of Version, where it was asked for
+	Body     []byte `cbor:"3,keyasint,omitempty"` // encoded configuration of Version, if the peer requested it
 }
 
-// MergeWith returns the note to send in place of an earlier one that was not sent yet and of
-// this one, which never says less.
-func (n ConfigNote) MergeWith(held *ConfigNote) *ConfigNote {
-	if held != nil {
-		n.WantBody = n.WantBody || held.WantBody
-		if n.Body == nil && held.Version == n.Version {
-			n.Body = held.Body
+// MergeWith returns a note to send instead of an earlier unsent note, which may be nil, and this
+// one. It keeps a request for the body from the earlier note, and a body of the same version.
+func (n ConfigNote) MergeWith(unsent *ConfigNote) *ConfigNote {
+	if unsent != nil {
+		n.WantBody = n.WantBody || unsent.WantBody
+		if n.Body == nil && unsent.Version == n.Version {
+			n.Body = unsent.Body
 		}
 	}
 	return &n
 }
 
-// TaskRef names a task.
+// TaskRef identifies a task.
 type TaskRef struct {
 	Job   string `cbor:"1,keyasint"`
 	Step  int    `cbor:"2,keyasint,omitempty"`
 	Index int    `cbor:"3,keyasint,omitempty"`
 }
 
-// Fate says what became of a life of a target with tasks at work.
+// Fate is what happened to an incarnation of a target that had active tasks.
 type Fate uint8
 
-// Fates.
+// Fates of a target.
 const (
-	FateUnresponsive Fate = 1 // it does not answer
-	FateCrashed      Fate = 2 // it is over, and nobody was told before
-	FateRecovered    Fate = 3 // it answers again after a silence
+	FateUnresponsive Fate = 1 // the target does not respond
+	FateCrashed      Fate = 2 // the incarnation ended without an announcement
+	FateRecovered    Fate = 3 // the target responds again
 )
 
-// Crash tells what became of a life of a target. It goes to every entry: the caller of a job
-// that was lost asks again through any of them.
+// Crash reports the fate of an incarnation of a target. It is sent to every entry, because the
+// caller of a lost job may submit it again through any of them.
 type Crash struct {
 	Target    string    `cbor:"1,keyasint"`
-	StartedMs int64     `cbor:"2,keyasint"`
+	StartedMs int64     `cbor:"2,keyasint"` // start time of the incarnation, from its announcement
 	Fate      Fate      `cbor:"3,keyasint"`
-	Tasks     []TaskRef `cbor:"4,keyasint,omitempty"` // that were at work
+	Tasks     []TaskRef `cbor:"4,keyasint,omitempty"` // active tasks
 }
 
-// Evacuation is what a record of the platform's log says of one data centre: no task is to
-// start there, or tasks may start there again.
+// Evacuation is a record of the platform's log about one data centre: it forbids the start of
+// tasks there, or permits it again if Lifted is set.
 type Evacuation struct {
 	DataCentre string `cbor:"1,keyasint"`
-	Offset     uint64 `cbor:"2,keyasint"` // of the record
+	Offset     uint64 `cbor:"2,keyasint"` // offset of the record in the log
 	Lifted     bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// LeasedToEntry is the part of ToEntry that is about a leased target.
+// LeasedToEntry is the part of ToEntry for a leased target.
 type LeasedToEntry struct {
 	Target   *LeasedTarget `cbor:"1,keyasint,omitempty"`
 	Load     *Load         `cbor:"2,keyasint,omitempty"`
 	Outcomes []RunOutcome  `cbor:"3,keyasint,omitempty"`
 	Config   *ConfigNote   `cbor:"4,keyasint,omitempty"`
-	// Evacuations count before anything else of the frame.
+	// Evacuations are processed before the rest of the frame.
 	Evacuations []Evacuation `cbor:"5,keyasint,omitempty"`
-	// Crashes count before the outcomes.
+	// Crashes are processed before the outcomes.
 	Crashes []Crash `cbor:"6,keyasint,omitempty"`
 }
 
-// LeasedToAgent is the part of ToAgent that is about a leased target.
+// LeasedToAgent is the part of ToAgent for a leased target.
 type LeasedToAgent struct {
 	Orders  []Order     `cbor:"1,keyasint,omitempty"`
-	Recalls []uint64    `cbor:"2,keyasint,omitempty"` // orders whose outcome no longer matters
+	Recalls []uint64    `cbor:"2,keyasint,omitempty"` // Seq of orders to cancel, whose outcome is no longer needed
 	Config  *ConfigNote `cbor:"3,keyasint,omitempty"`
-	// LoadIntervalMs is the shortest time between two reports of the load that the entry
-	// wants from now on; 0: as before.
+	// LoadIntervalMs is the shortest time between two load reports that the entry requests
+	// from now on; 0 keeps the earlier value.
 	LoadIntervalMs int64 `cbor:"4,keyasint,omitempty"`
-	// Specs are those of Orders, each once. All tasks of a job have the same one, of up to
-	// some kilobytes; repeated with each order, it fills the link of a small entry host, and
-	// the last task of a wide job leaves tens of milliseconds after the first.
+	// Specs are the distinct specs of Orders. All tasks of a job have the same spec, of up to
+	// a few kilobytes. Repeated in each order, it would saturate the link of a small entry
+	// host, and the last task of a wide job would be sent tens of milliseconds after the first.
 	Specs []string `cbor:"5,keyasint,omitempty"`
-	// Evacuations count before anything else of the frame.
+	// Evacuations are processed before the rest of the frame.
 	Evacuations []Evacuation `cbor:"6,keyasint,omitempty"`
 }
 
-// specError is an order whose spec its frame does not bring.
-type specError struct {
-	order  uint64
-	at, of int
+// specIndexError reports an order whose spec is missing from its frame.
+type specIndexError struct {
+	orderSeq     uint64
+	index, count int
 }
 
 // Error implements error.
-func (e *specError) Error() string {
-	return fmt.Sprintf("order %d names spec %d of %d", e.order, e.at, e.of)
+func (e *specIndexError) Error() string {
+	return fmt.Sprintf("order %d refers to spec %d of %d", e.orderSeq, e.index, e.count)
 }
 
-// pack moves the orders' specs to Specs.
-func (l *LeasedToAgent) pack() {
+// collectSpecs sets Specs and each order's SpecIndex for encoding.
+func (l *LeasedToAgent) collectSpecs() {
 	if l == nil {
 		return
 	}
 	l.Specs = l.Specs[:0]
 	for i := range l.Orders {
 		o := &l.Orders[i]
-		at := slices.Index(l.Specs, o.Spec)
-		if at < 0 {
-			at = len(l.Specs)
+		index := slices.Index(l.Specs, o.Spec)
+		if index < 0 {
+			index = len(l.Specs)
 			l.Specs = append(l.Specs, o.Spec)
 		}
-		o.SpecIndex = at
+		o.SpecIndex = index
 	}
 }
 
-// unpack gives each order its spec.
-func (l *LeasedToAgent) unpack() error {
+// distributeSpecs sets each order's Spec after decoding.
+func (l *LeasedToAgent) distributeSpecs() error {
 	if l == nil {
 		return nil
 	}
 	for i := range l.Orders {
 		o := &l.Orders[i]
 		if o.SpecIndex < 0 || o.SpecIndex >= len(l.Specs) {
-			return &specError{o.Seq, o.SpecIndex, len(l.Specs)}
+			return &specIndexError{o.Seq, o.SpecIndex, len(l.Specs)}
 		}
 		o.Spec = l.Specs[o.SpecIndex]
 	}
 	return nil
 }
 
-func (l *LeasedToEntry) weight() int {
+func (l *LeasedToEntry) estimatedBytes() int {
 	if l == nil {
 		return 0
 	}
@@ -245,7 +246,7 @@
 	return n
 }
 
-func (l *LeasedToAgent) weight() int {
+func (l *LeasedToAgent) estimatedBytes() int {
 	if l == nil {
 		return 0
 	}
--- a/internal/wire/leased_test.go
+++ b/internal/wire/leased_test.go
@@ -13,25 +13,25 @@
 func wideJob(id, spec string, tasks int) []wire.Order {
 	orders := make([]wire.Order, tasks)
 	for i := range orders {
-		orders[i] = wire.Order{Seq: uint64(i + 1), Job: id, Index: i, Run: 7, Spec: spec}
+		orders[i] = wire.Order{Seq: uint64(i + 1), Job: id, Index: i, RunNumber: 7, Spec: spec}
 	}
 	return orders
 }
 
-// A job of 32 tasks has a spec of four kilobytes and goes over the link of an entry of 2 Mbit/s.
-// With the spec in each order the frame takes that link for half a second, in which the jobs of
-// all other callers wait as well.
-func TestAWideJobTakesTheLinkForItsSpecOnce(t *testing.T) {
+// A job of 32 tasks has a spec of four kilobytes and is sent over an entry's link of 2 Mbit/s. With
+// the spec in each order, the frame would occupy that link for half a second and delay the jobs
+// of all callers.
+func TestWideJobSendsItsSpecOnce(t *testing.T) {
 	g := NewWithT(t)
-	const linkBitsPerMs, mostMs = 2000, 40
+	const linkBitsPerMs, maxMs = 2000, 40
 	b, err := wire.Encode(&wire.ToAgent{Seq: 1, Leased: &wire.LeasedToAgent{Orders: wideJob("j", strings.Repeat("s", 4000), 32)}})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(8 * len(b) / linkBitsPerMs).To(BeNumerically("<", mostMs))
+	g.Expect(8 * len(b) / linkBitsPerMs).To(BeNumerically("<", maxMs))
 }
 
-// Orders of several jobs gather in one frame. Each task must be told its own job's spec, or a
-// target would do another caller's work.
-func TestEachOrderHasItsOwnSpec(t *testing.T) {
+// A frame may carry orders of several jobs. Each order must be decoded with the spec of its own
+// job. Otherwise a target would run another caller's work.
+func TestOrdersAreDecodedWithTheirOwnSpecs(t *testing.T) {
 	g := NewWithT(t)
 	orders := append(wideJob("a", "spec-a", 2), wideJob("b", "", 2)...)
 	orders = append(orders, wideJob("c", "spec-c", 1)...)
@@ -46,9 +46,9 @@
 	g.Expect(specs).To(Equal([]string{"spec-a", "spec-a", "", "", "spec-c"}))
 }
 
-// A frame names a spec that it does not bring. Started without it, the task would do the wrong
-// work; the connection is closed instead.
-func TestASpecThatIsMissingIsAnError(t *testing.T) {
+// An order may refer to a spec that the frame does not contain. Decoding must fail, which closes
+// the connection; started without its spec, the task would do the wrong work.
+func TestMissingSpecIsAnError(t *testing.T) {
 	g := NewWithT(t)
 	b, err := wire.Encode(&wire.ToAgent{Seq: 1, Leased: &wire.LeasedToAgent{Orders: wideJob("a", "spec-a", 1)}})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/wire/sequence_test.go
+++ b/internal/wire/sequence_test.go
@@ -9,9 +9,9 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// A field that is added to a frame but forgotten in Heartbeat would be taken for
-// an empty frame and never reach its receiver.
-func TestEveryFieldButTheNumbersIsContent(t *testing.T) {
+// Guards against a frame field that IsHeartbeat doesn't check: a frame with only that field
+// would be treated as empty and not be processed.
+func TestFrameWithAnyContentFieldIsNotAHeartbeat(t *testing.T) {
 	g := NewWithT(t)
 	for _, frame := range []interface{ IsHeartbeat() bool }{&wire.ToEntry{}, &wire.ToAgent{}} {
 		fields := reflect.ValueOf(frame).Elem()
