--- a/internal/job/grace.go
+++ b/internal/job/grace.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// AnswerGrace is how long past an id's deadline its owner still gives a complete
-// answer, for callers whose only entry was frozen or cut off around the deadline. Other
-// entries call an outcome unknown only after it.
+// AnswerGrace is how long after an id's deadline its owner still returns a complete
+// answer, for callers whose only entry was frozen or unreachable around the deadline. Other
+// entries report an outcome as unknown only after that time.
 const AnswerGrace = 2 * time.Second
 
 // AnswerableUntil returns the time from which the id's complete answer is no longer
-// given, by the clock of whoever holds it.
+// returned, by the clock of the process that holds it.
 func (id ID) AnswerableUntil() time.Time { return id.Deadline.Add(AnswerGrace) }
--- a/internal/job/id.go
+++ b/internal/job/id.go
@@ -1,5 +1,5 @@
-// Package job holds what callers submit and what they get back, and the id that
-// ties a submission to the one process that may start it.
+// Package job defines submissions and their answers, and the id that binds a submission
+// to the one process that may start it.
 package job
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// Incarnation identifies one run of one process. It is drawn at random at every
-// start, so that a restarted process can't be taken for its predecessor.
+// Incarnation identifies one run of a process. It is random for every start, so that a
+// restarted process can't be mistaken for its predecessor.
 type Incarnation uint64
 
-// NewIncarnation draws an incarnation; it is never zero.
+// NewIncarnation returns a random incarnation other than zero.
 func NewIncarnation() Incarnation {
 	var b [8]byte
 	for {
@@ -39,14 +39,14 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Owner names the process that alone may start the tasks of a submission.
+// Owner identifies the process that alone may start the tasks of a submission.
 type Owner struct {
 	Incarnation Incarnation
 	Addr        netip.AddrPort
 }
 
-// Key signs tokens, so that an id can't name an address that is no entry of
-// this fleet and make entries connect to it.
+// Key signs tokens. A forged id could otherwise name an address that is not an entry of
+// this fleet, and make entries connect to it.
 type Key []byte
 
 const (
@@ -69,9 +69,9 @@
 	return hex.EncodeToString(mac.Sum(nil)[:macBytes])
 }
 
-// ID names a submission for ever. Its text binds it to one owner and to one
-// deadline: only that incarnation may start it, and not after that time, so the
-// owner may forget an id once its deadline is past and still never start it twice.
+// ID permanently identifies a submission. Its text binds it to one owner and to one
+// deadline: only that incarnation may start it, and not after that time. The owner may
+// therefore discard an id after its deadline and still never starts it twice.
 type ID struct {
 	Owner    Owner
 	Deadline time.Time // millisecond resolution
@@ -82,12 +82,12 @@
 // String returns the id's text.
 func (id ID) String() string { return id.text }
 
-// NewID makes the id of a submission from an owner's token.
+// NewID returns the id of a submission with an owner's token. The error is a *fault.Fault.
 func NewID(token string, deadline time.Time, unique string, k Key) (ID, error) {
 	return ParseID(token+"-"+strconv.FormatInt(deadline.UnixMilli(), 10)+"-"+unique, k)
 }
 
-// ParseID reads an id and checks its signature. The error is a *fault.Fault.
+// ParseID parses an id and verifies its signature. The error is a *fault.Fault.
 func ParseID(text string, k Key) (ID, error) {
 	parts := strings.SplitN(text, "-", 6)
 	if len(parts) != 6 || parts[0] != idPrefix {
@@ -105,7 +105,7 @@
 	if err != nil || ms <= 0 || strconv.FormatInt(ms, 10) != parts[4] {
 		return ID{}, fault.Input(fault.BadID, "id", "the deadline is not a time in Unix milliseconds")
 	}
-	if !validUnique(parts[5]) {
+	if !validName(parts[5]) {
 		return ID{}, fault.Input(fault.BadID, "id", "the unique part takes 1 to 64 of A-Z a-z 0-9 _ - .")
 	}
 	return ID{Owner: owner, Deadline: time.UnixMilli(ms), Unique: parts[5], text: text}, nil
@@ -127,7 +127,7 @@
 	return Owner{Incarnation: Incarnation(n), Addr: ap}, nil
 }
 
-func validUnique(s string) bool {
+func validName(s string) bool {
 	if len(s) == 0 || len(s) > maxUnique {
 		return false
 	}
--- a/internal/job/id_fuzz_test.go
+++ b/internal/job/id_fuzz_test.go
@@ -12,9 +12,9 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// An id of any text arrives in a body or a path. Only a text that this fleet's key
-// signed is taken, and it must name its owner and deadline in one way only: two
-// texts that meant the same would be two submissions.
+// Arbitrary text may arrive as an id in a body or a path. Only text signed with this fleet's key
+// may be accepted, and an owner and a deadline must have a single representation: two texts with
+// the same meaning would count as two submissions.
 func FuzzParseID(f *testing.F) {
 	key := job.Key("a key for tests only")
 	owner := job.Owner{Incarnation: 7, Addr: netip.MustParseAddrPort("10.1.2.3:7400")}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -9,9 +9,9 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// Limits on one submission. MaxTasks is the users' figure; the byte limits keep
-// one submission from taking an entry's memory and one frame from blocking a
-// connection for long.
+// Limits of a submission. MaxTasks is the users' requirement. The byte limits keep one
+// submission from exhausting an entry's memory and one frame from blocking a connection
+// for long.
 const (
 	MaxTasks        = 290
 	MaxPayloadBytes = 64 << 10
@@ -20,7 +20,7 @@
 	MaxEstimate     = time.Hour
 )
 
-// Demand is what a task needs on its worker besides one slot of the target.
+// Demand is the resources that a task needs on its worker, besides a slot of the target.
 type Demand struct {
 	CPUMilli     int `json:"cpu_milli,omitempty" cbor:"1,keyasint,omitempty"`
 	MemoryMB     int `json:"memory_mb,omitempty" cbor:"2,keyasint,omitempty"`
@@ -37,7 +37,7 @@
 	return Demand{d.CPUMilli + o.CPUMilli, d.MemoryMB + o.MemoryMB, d.Accelerators + o.Accelerators}
 }
 
-// Sub returns d less o.
+// Sub returns the difference of both demands.
 func (d Demand) Sub(o Demand) Demand {
 	return Demand{d.CPUMilli - o.CPUMilli, d.MemoryMB - o.MemoryMB, d.Accelerators - o.Accelerators}
 }
@@ -45,27 +45,27 @@
 // Task is one unit of work for a target.
 type Task struct {
 	Payload []byte `json:"payload,omitempty"`
-	// EstimateMs is the declared run time on a target of speed 1; it is a hint
-	// and often wrong. 0 means unknown.
+	// EstimateMs is the declared run time on a target of speed 1. It is a hint and often
+	// inaccurate; 0 means unknown.
 	EstimateMs int64  `json:"estimate_ms,omitempty"`
 	Demand     Demand `json:"demand,omitzero"`
 }
 
-// Submission is a job of many tasks or a single request.
+// Submission is a job of one or more tasks, or a single request.
 type Submission struct {
 	ID    ID     `json:"-"`
 	Team  string `json:"team"`
 	Class string `json:"class"`
 	// Single marks a single request rather than a job.
 	Single bool `json:"-"`
-	// Idempotent allows a single request to run again where its outcome is unknown.
+	// Idempotent permits running a single request again if its outcome is unknown.
 	Idempotent bool `json:"idempotent,omitempty"`
-	// SpreadRacks asks that tasks of the job run in different racks while there are any.
+	// SpreadRacks requests that the job's tasks run in different racks as far as possible.
 	SpreadRacks bool   `json:"spread_racks,omitempty"`
 	Tasks       []Task `json:"tasks"`
 }
 
-// Validate validates everything but the id. The error is a *fault.Fault that names the field.
+// Validate checks all fields except the id. The error is a *fault.Fault that names the field.
 func (s *Submission) Validate() error {
 	if len(s.Tasks) == 0 || len(s.Tasks) > MaxTasks {
 		return fault.Input(fault.BadTaskCount, "tasks", "a job has 1 to 290 tasks, got "+strconv.Itoa(len(s.Tasks)))
@@ -76,21 +76,21 @@
 	if s.Idempotent && !s.Single {
 		return fault.Input(fault.BadField, "idempotent", "only a single request may be marked idempotent")
 	}
-	if !validUnique(s.Team) {
+	if !validName(s.Team) {
 		return fault.Input(fault.BadField, "team", "takes 1 to 64 of A-Z a-z 0-9 _ - .")
 	}
-	if !validUnique(s.Class) {
+	if !validName(s.Class) {
 		return fault.Input(fault.BadField, "class", "takes 1 to 64 of A-Z a-z 0-9 _ - .")
 	}
 	for i := range s.Tasks {
-		if err := s.Tasks[i].check(i); err != nil {
+		if err := s.Tasks[i].validate(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *Task) check(i int) error {
+func (t *Task) validate(i int) error {
 	field := "tasks[" + strconv.Itoa(i) + "]."
 	if len(t.Payload) > MaxPayloadBytes {
 		return fault.Input(fault.BodyTooLarge, field+"payload", "at most 65536 bytes")
@@ -98,51 +98,51 @@
 	if t.EstimateMs < 0 || t.EstimateMs > MaxEstimate.Milliseconds() {
 		return fault.Input(fault.BadField, field+"estimate_ms", "takes 0 to 3600000")
 	}
-	const most = 1 << 30
+	const maxAmount = 1 << 30
 	d := t.Demand
-	if min(d.CPUMilli, d.MemoryMB, d.Accelerators) < 0 || max(d.CPUMilli, d.MemoryMB, d.Accelerators) > most {
+	if min(d.CPUMilli, d.MemoryMB, d.Accelerators) < 0 || max(d.CPUMilli, d.MemoryMB, d.Accelerators) > maxAmount {
 		return fault.Input(fault.BadField, field+"demand", "takes 0 to 1073741824 of each kind")
 	}
 	return nil
 }
 
-// Fingerprint identifies the content of a submission, so that an id that comes
-// again with another body is refused and not answered with a stranger's answer.
+// Fingerprint returns a hash of the content of a submission. It lets an id that is
+// submitted again with another body be refused instead of getting the answer to the first.
 func (s *Submission) Fingerprint() [sha256.Size]byte {
 	h := sha256.New()
 	var n [8]byte
-	number := func(v int64) {
+	writeInt := func(v int64) {
 		binary.BigEndian.PutUint64(n[:], uint64(v))
 		h.Write(n[:])
 	}
-	text := func(b []byte) {
-		number(int64(len(b)))
+	writeBytes := func(b []byte) {
+		writeInt(int64(len(b)))
 		h.Write(b)
 	}
-	flag := func(b bool) {
+	writeBool := func(b bool) {
 		if b {
-			number(1)
+			writeInt(1)
 		} else {
-			number(0)
+			writeInt(0)
 		}
 	}
-	text([]byte(s.Team))
-	text([]byte(s.Class))
-	flag(s.Single)
-	flag(s.Idempotent)
-	flag(s.SpreadRacks)
+	writeBytes([]byte(s.Team))
+	writeBytes([]byte(s.Class))
+	writeBool(s.Single)
+	writeBool(s.Idempotent)
+	writeBool(s.SpreadRacks)
 	for i := range s.Tasks {
 		t := &s.Tasks[i]
-		text(t.Payload)
-		number(t.EstimateMs)
-		number(int64(t.Demand.CPUMilli))
-		number(int64(t.Demand.MemoryMB))
-		number(int64(t.Demand.Accelerators))
+		writeBytes(t.Payload)
+		writeInt(t.EstimateMs)
+		writeInt(int64(t.Demand.CPUMilli))
+		writeInt(int64(t.Demand.MemoryMB))
+		writeInt(int64(t.Demand.Accelerators))
 	}
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// State is how a submission stands.
+// State is the state of a submission.
 type State string
 
 // States of a submission. Complete, Failed and Refused are final.
@@ -150,18 +150,18 @@
 	Pending  State = "pending"
 	Complete State = "complete"
 	Failed   State = "failed"
-	Refused  State = "refused" // not accepted; no task ran or ever will
+	Refused  State = "refused" // not accepted; no task has run or ever will
 )
 
-// Answer is the one final answer to a submission, or Pending.
+// Answer is the answer to a submission: its only final one, or one in the state Pending.
 type Answer struct {
 	ID    string `json:"id"`
 	State State  `json:"state"`
 	// Results holds one result per task, in the order of the tasks; set only when Complete.
 	Results [][]byte `json:"results,omitempty"`
-	// Failure says why a job failed or was refused.
+	// Failure is the reason why a job failed or was refused.
 	Failure *fault.Fault `json:"failure,omitempty"`
 }
 
-// Final reports whether the answer can't change any more.
+// Final reports whether the answer can no longer change.
 func (a *Answer) Final() bool { return a.State != Pending }
