--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the numbered, typed failures that callers and operators
-// see. Code inside the system branches on the Code and never on a text.
+// Package fault defines the numbered, typed failures that callers and operators receive.
+// Other packages distinguish them by their Code, never by their text.
 package fault
 
 import (
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// Code numbers a failure. Numbers are never reused.
+// Code is the number of a kind of failure. Numbers are never reused.
 type Code int
 
-// Failures by hundreds: 1xx bad input, 2xx refusals before acceptance, 3xx
-// endings of accepted jobs, 4xx undecided, 5xx operators' requests, 6xx settings.
+// Codes by hundreds: 1xx invalid input, 2xx refusals before acceptance, 3xx failures of
+// accepted jobs, 4xx undecided or unknown ids, 5xx operators' requests, 6xx settings.
 const (
 	BadBody         Code = 101 // the body can't be decoded or names an unknown field
 	BodyTooLarge    Code = 102
-	BadID           Code = 103 // the submission id or token is of another form or not signed by this fleet
+	BadID           Code = 103 // the submission id or token is malformed or not signed by this fleet
 	BadTaskCount    Code = 104
-	BadField        Code = 105 // one field is out of range; Field names it
+	BadField        Code = 105 // a field is invalid; Field names it
 	DeadlinePast    Code = 106
 	DeadlineTooFar  Code = 107
-	BodyMismatch    Code = 108 // an id that is known came again with another body
+	BodyMismatch    Code = 108 // a known id was submitted with another body
 	UnknownResource Code = 109 // no such path or method
 
-	Overloaded    Code = 201 // admission turned the job away
-	QuotaExceeded Code = 202 // reserved: work above a quota waits and is not refused for it
-	NeverRunnable Code = 203 // no target could ever hold one of the tasks
+	Overloaded    Code = 201 // admission control rejected the job
+	QuotaExceeded Code = 202 // reserved: work above a quota is queued, not refused
+	NeverRunnable Code = 203 // a task exceeds the capacity of every target
 	Draining      Code = 204
 	TooManyJobs   Code = 205 // the owner's table is full
 
-	NoConfiguration Code = 206 // the operator's configuration is not known here yet
-	NotBuilt        Code = 207 // it asks for something that the product can't do yet
-	Evacuated       Code = 208 // each data centre that could run it is evacuated
-	Suspected       Code = 209 // targets that ran a task of it don't answer; it may have crashed them
+	NoConfiguration Code = 206 // this process has not received the operator's configuration yet
+	NotBuilt        Code = 207 // the request needs a feature that is not implemented
+	Evacuated       Code = 208 // every data centre that could run it is evacuated
+	Suspected       Code = 209 // targets that ran one of its tasks don't respond; it may have crashed them
 
 	TaskFailed       Code = 301 // a target ran a task and reported failure
-	OutcomeUnknown   Code = 302 // what became of it can't be learned, or nobody was given it in time
+	OutcomeUnknown   Code = 302 // the outcome can't be determined, or was not delivered to a caller in time
 	DeadlineExceeded Code = 303
 	Cancelled        Code = 304
-	OwnerGone        Code = 305 // the owner's process ended; what it had accepted has an unknown outcome
-	AnswerExpired    Code = 306 // the answer was given and is no longer held
+	OwnerGone        Code = 305 // the owner's process ended; the outcome of jobs that it had accepted is unknown
+	AnswerExpired    Code = 306 // the answer was delivered and is no longer stored
 
-	Undecided Code = 401 // the owner can't be reached and is not proved dead: ask again
+	Undecided Code = 401 // the owner is unreachable and not known to have ended; query again
 	NotFound  Code = 402 // the owner never accepted this id
 
-	ConfigConflict  Code = 501 // another operator's change won
-	ConfigUndecided Code = 502 // the log's answer was lost and can't be read back yet
-	ConfigNotTaken  Code = 503 // the log is down and nothing was accepted
+	ConfigConflict  Code = 501 // another operator's change took precedence
+	ConfigUndecided Code = 502 // the log's answer was lost, and the log can't be read yet to determine the result
+	ConfigNotTaken  Code = 503 // the log is unavailable and the change was not accepted
 	ConfigInvalid   Code = 504
 
 	BadSetting Code = 601
@@ -98,7 +98,7 @@
 	BadSetting: {"bad_setting", http.StatusBadRequest},
 }
 
-// String returns the code's stable name.
+// String returns the code's stable name, for JSON and logs.
 func (c Code) String() string {
 	if info, ok := codes[c]; ok {
 		return info.name
@@ -106,7 +106,7 @@
 	return fmt.Sprintf("code_%d", int(c))
 }
 
-// Status returns the HTTP status that carries the code.
+// Status returns the HTTP status of responses with the code.
 func (c Code) Status() int {
 	if info, ok := codes[c]; ok {
 		return info.status
@@ -114,7 +114,7 @@
 	return http.StatusInternalServerError
 }
 
-// Codes returns every known code, in no order.
+// Codes returns all known codes in unspecified order.
 func Codes() []Code {
 	all := make([]Code, 0, len(codes))
 	for c := range codes {
@@ -123,16 +123,17 @@
 	return all
 }
 
-// Fault is a typed failure. It is an error and is also what callers get as JSON.
+// Fault is a typed failure. It is an error, and its JSON encoding is part of responses to
+// callers.
 type Fault struct {
 	Code   Code   `json:"code"`
 	Name   string `json:"name"`
 	Field  string `json:"field,omitempty"`
 	Detail string `json:"detail,omitempty"`
-	// NotRun states that no task of the request has run or ever will. It is set
-	// only where that is certain for ever after.
+	// NotRun states that no task of the request has run or ever will. It is set only if
+	// that is certain.
 	NotRun bool `json:"not_run"`
-	// RetryAfterMs tells the caller when coming back makes sense; 0 means never.
+	// RetryAfterMs is the time after which a retry may succeed; 0 means that none will.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -141,12 +142,12 @@
 	return &Fault{Code: c, Name: c.String(), Detail: detail}
 }
 
-// Newf is New with a format.
+// Newf is like New with a formatted detail.
 func Newf(c Code, format string, args ...any) *Fault {
 	return New(c, fmt.Sprintf(format, args...))
 }
 
-// Input returns a fault about one field of a request that started nothing.
+// Input returns a fault for an invalid field of a request that started nothing.
 func Input(c Code, field, detail string) *Fault {
 	f := New(c, detail)
 	f.Field = field
@@ -154,7 +155,7 @@
 	return f
 }
 
-// Refused returns a fault for a request that was turned away before anything ran.
+// Refused returns a fault for a request that was refused before any task ran.
 func Refused(c Code, detail string, retryAfter time.Duration) *Fault {
 	f := New(c, detail)
 	f.NotRun = true
@@ -174,7 +175,7 @@
 	return text
 }
 
-// Is reports whether target is a fault of the same code, for errors.Is.
+// Is reports whether target is a fault with the same code. It implements errors.Is.
 func (f *Fault) Is(target error) bool {
 	other, ok := target.(*Fault)
 	return ok && other.Code == f.Code
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -10,15 +10,15 @@
 	. "github.com/onsi/gomega"
 )
 
-const page = "../../docs/api.md"
+const docPath = "../../docs/api.md"
 
-var row = regexp.MustCompile(`(?m)^\| (\d+) \| ([a-z_]+) \| (\d+) \|`)
+var rowPattern = regexp.MustCompile(`(?m)^\| (\d+) \| ([a-z_]+) \| (\d+) \|`)
 
-// A caller's program branches on the code that the page lists. A code that is
-// missing there, or comes with another status, is handled as something else.
-func TestPageListsEveryCode(t *testing.T) {
+// Callers' programs branch on the codes that the API page lists. They would mishandle a code
+// that is missing there or has another status.
+func TestAPIPageListsEveryCode(t *testing.T) {
 	g := NewWithT(t)
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(docPath)
 	g.Expect(err).NotTo(HaveOccurred())
 	codes := Codes()
 	slices.Sort(codes)
@@ -26,5 +26,5 @@
 	for _, c := range codes {
 		want = append(want, fmt.Sprintf("| %d | %s | %d |", c, c, c.Status()))
 	}
-	g.Expect(row.FindAllString(string(text), -1)).To(Equal(want))
+	g.Expect(rowPattern.FindAllString(string(text), -1)).To(Equal(want))
 }
