--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,11 +1,11 @@
-// Package event numbers the log lines of every daemon. Operators and their
-// alerts match on the number; the text may be reworded, the number never moves.
-// docs/events.md lists them and a test keeps that page and this table the same.
+// Package event defines the numbered events that daemons log. Operators and their alerts
+// match on the number, which never changes; the text may. docs/events.md lists all events,
+// and a test keeps that page equal to Catalogue.
 package event
 
 import "github.com/go-logr/logr"
 
-// ID numbers an event.
+// ID is the number of an event.
 type ID int
 
 // Events by hundreds: 1xx process, 2xx submissions, 3xx placement, 4xx sessions
@@ -90,85 +90,85 @@
 	TargetResized     ID = 618
 )
 
-// Entry describes an event for the catalogue.
+// Entry is the description of an event in Catalogue.
 type Entry struct {
 	ID   ID
 	Name string
 	Text string
 }
 
-// Catalogue lists every event in order of its number.
+// Catalogue lists all events in ascending order of their numbers.
 var Catalogue = []Entry{
-	{ProcessStarted, "process_started", "the daemon is up and serves"},
+	{ProcessStarted, "process_started", "the daemon has started and accepts requests"},
 	{ProcessStopping, "process_stopping", "a graceful shutdown has begun"},
-	{ProcessStopped, "process_stopped", "the daemon has finished what it had and ends"},
-	{InvariantBroken, "invariant_broken", "an invariant does not hold; the history follows"},
+	{ProcessStopped, "process_stopped", "the daemon has completed its work and exits"},
+	{InvariantBroken, "invariant_broken", "an invariant is violated; the line contains its history"},
 	{DrainStarted, "drain_started", "an operator or a signal asked this daemon to take no new work"},
-	{LinesDropped, "log_lines_dropped", "whatever reads the log stalled, and lines were dropped rather than the daemon stopped"},
-	{ProcessStalled, "process_stalled", "the process stood still; its peers may have given up its sessions"},
+	{LinesDropped, "log_lines_dropped", "the reader of the log output stalled; lines were dropped so that the daemon was not blocked"},
+	{ProcessStalled, "process_stalled", "the process was suspended or frozen; its peers may have closed its sessions"},
 	{SettingsRead, "settings_read", "the settings file was read again"},
-	{AcceptFailed, "accept_failed", "a new connection could not be taken, such as for want of file descriptors; tried again"},
-	{MetricsStale, "metrics_stale", "the metrics were read while the control goroutine was busy; its figures are those of before"},
+	{AcceptFailed, "accept_failed", "accepting a connection failed, for example for lack of file descriptors; it is retried"},
+	{MetricsStale, "metrics_stale", "the metrics were read while the control goroutine was busy; its values are those of an earlier reading"},
 	{ControlSlow, "control_slow", "one turn of the control goroutine took long; requests and heartbeats waited behind it"},
-	{EntryStarting, "entry_starting", "an entry listens and looks for the newest configuration; it takes no work until process_started"},
-	{ProcessStarved, "process_starved", "the process was short of processor time: short standstills of about two seconds add up to this"},
-	{JobAccepted, "job_accepted", "a submission was let in"},
-	{JobRefused, "job_refused", "a submission was turned away and did not run"},
-	{JobComplete, "job_complete", "every task succeeded and the answer is whole"},
+	{EntryStarting, "entry_starting", "an entry listens and fetches the newest configuration; it accepts no work until process_started"},
+	{ProcessStarved, "process_starved", "the process was short of processor time: the sum of short pauses within about two seconds reached a limit"},
+	{JobAccepted, "job_accepted", "a submission was accepted"},
+	{JobRefused, "job_refused", "a submission was refused and did not run"},
+	{JobComplete, "job_complete", "every task succeeded and the answer is complete"},
 	{JobFailed, "job_failed", "the job ended as failed"},
-	{JobAttached, "job_attached", "a submission came again and waits for the first one's answer"},
-	{JobForwarded, "job_forwarded", "the submission belongs to another entry and was sent there"},
-	{JobUndecided, "job_undecided", "the owner can't be reached and is not proved dead"},
-	{JobShed, "job_shed", "a job that was let in can't be done before its deadline any more"},
-	{JobAbandoned, "job_abandoned", "the caller of a job has left; what runs of it is stopped"},
-	{AnswerWithdrawn, "answer_withdrawn", "a complete answer that no caller was given in time became an unknown outcome, as other entries say by then"},
+	{JobAttached, "job_attached", "a known submission was repeated and waits for the answer to the first one"},
+	{JobForwarded, "job_forwarded", "the submission is owned by another entry and was forwarded to it"},
+	{JobUndecided, "job_undecided", "the owner is unreachable and not known to have ended"},
+	{JobShed, "job_shed", "an accepted job can no longer complete before its deadline"},
+	{JobAbandoned, "job_abandoned", "the caller of a job has disconnected; its running tasks are stopped"},
+	{AnswerWithdrawn, "answer_withdrawn", "a complete answer that was not delivered to a caller in time became an unknown outcome, which other entries report by then"},
 	{TaskPlaced, "task_placed", "a task was sent to a target"},
-	{TaskReported, "task_reported", "a target's outcome for a task arrived"},
-	{TaskReplaced, "task_replaced", "a task that certainly did not run goes to another target"},
-	{TaskHeld, "task_held", "a task waits although a slot is free, because starting there would end later"},
-	{TaskOverdue, "task_overdue", "a task takes far longer than predicted; it is stopped and goes elsewhere, or its job is given up"},
-	{SessionOpened, "session_opened", "an agent and an entry are connected"},
-	{SessionSilent, "session_silent", "nothing was heard on a connection for too long; a new one is tried"},
+	{TaskReported, "task_reported", "the outcome of a task was received from its target"},
+	{TaskReplaced, "task_replaced", "a task that certainly did not run is placed on another target"},
+	{TaskHeld, "task_held", "a task stays queued although a slot is free, because a start there would complete later"},
+	{TaskOverdue, "task_overdue", "a task runs far longer than predicted; it is stopped and placed elsewhere, or its job is abandoned"},
+	{SessionOpened, "session_opened", "a connection between an agent and an entry was established"},
+	{SessionSilent, "session_silent", "a connection was silent in one or both directions for longer than its timeout; the agent reconnects"},
 	{SessionClosed, "session_closed", "a connection ended"},
-	{SessionReplaced, "session_replaced", "a new connection took over from an older one"},
+	{SessionReplaced, "session_replaced", "a new connection replaced an older one"},
 	{AgentGone, "agent_gone", "an agent's incarnation ended; its unsettled attempts have unknown outcomes"},
 	{PeerLearned, "peer_learned", "another entry's address was learned"},
 	{BadFrame, "bad_frame", "a frame could not be decoded or broke the protocol; the connection is closed"},
-	{AgentRated, "agent_rated", "an agent's rating changed: failing, straggling or well again"},
-	{SessionRetired, "session_retired", "an agent gave up the session of a substitute, since the entries it prefers are connected"},
-	{EntryChosen, "entry_chosen", "an entry is one of those that this agent keeps sessions with"},
-	{EntryLost, "entry_lost", "an entry has been out of reach for seconds; the agent keeps a session with another one instead"},
-	{ReportsPaced, "reports_paced", "an entry asked its agents to report their load at another pace, by its host's processor and their number"},
+	{AgentRated, "agent_rated", "an agent was rated as failing, straggling or healthy again, or its availability changed"},
+	{SessionRetired, "session_retired", "an agent closed its session with a substitute entry, because the entries that it prefers are connected"},
+	{EntryChosen, "entry_chosen", "an agent selected an entry to keep a session with"},
+	{EntryLost, "entry_lost", "an entry has been unreachable for seconds; the agent keeps a session with another one instead"},
+	{ReportsPaced, "reports_paced", "an entry requested another load report interval from its agents, based on its host's processor and their number"},
 	{ConfigApplied, "config_applied", "a configuration version is in force on this process"},
-	{ConfigStale, "config_stale", "this process has not heard of the configuration for too long"},
-	{ConfigConflict, "config_conflict", "a change lost against another operator's"},
-	{LogUnreachable, "log_unreachable", "the platform's log does not answer"},
-	{ConfigSnapshot, "config_snapshot", "a snapshot was appended before retention drops what is needed"},
-	{LogBack, "log_back", "the platform's log answers again"},
-	{LogTruncated, "log_truncated", "the platform's log has dropped what was to be read next; the newest values are read again"},
+	{ConfigStale, "config_stale", "this process has received no confirmation of its configuration for too long"},
+	{ConfigConflict, "config_conflict", "a change was rejected in favour of another operator's"},
+	{LogUnreachable, "log_unreachable", "the platform's log does not respond"},
+	{ConfigSnapshot, "config_snapshot", "a snapshot was appended before retention deletes records that are still needed"},
+	{LogBack, "log_back", "the platform's log responds again"},
+	{LogTruncated, "log_truncated", "the platform's log has deleted the records to be read next; the newest values are read instead"},
 	{RecordWritten, "record_written", "this process has written its record to the platform's log"},
-	{ConfigBad, "config_bad", "a configuration can't be read; the one before stays in force"},
-	{EvacuationBegun, "evacuation_begun", "a data centre is evacuated: no task starts there until that is lifted"},
+	{ConfigBad, "config_bad", "a configuration is invalid; the previous one stays in force"},
+	{EvacuationBegun, "evacuation_begun", "a data centre is evacuated: no task starts there until the evacuation is lifted"},
 	{EvacuationLifted, "evacuation_lifted", "tasks may start in a data centre again"},
 	{EvacuationBad, "evacuation_bad", "a record of an evacuation names no data centre and was ignored"},
 	{TargetAnnounced, "target_announced", "a target announced itself"},
 	{TargetSilent, "target_silent", "a target stopped announcing itself"},
-	{TargetLeaving, "target_leaving", "a target said that it leaves"},
+	{TargetLeaving, "target_leaving", "a target announced its departure"},
 	{TargetFailed, "target_failed", "a call to a target failed"},
 	{CreditsChanged, "credits_changed", "an agent granted free slots to an owner or recalled credits from it"},
 	{TaskBegun, "task_begun", "an agent called its target for a task"},
 	{AttemptRefused, "attempt_refused", "an agent refused a start; the task did not run there"},
-	{RunsStopped, "runs_stopped", "runs were stopped, or ended with their target, and no owner waits for them"},
-	{AnnouncementStale, "announcement_stale", "a delayed announcement of an earlier life of the target was ignored"},
-	{StartUnanswered, "start_unanswered", "a target did not answer a start; it is called again, and then fenced off by a stop"},
-	{StartTurnedAway, "start_turned_away", "a target answered that it does not start a task"},
-	{TargetBack, "target_back", "a target answers again"},
-	{ForeignRun, "foreign_run", "a target runs what an earlier agent started; it is stopped"},
-	{TargetStands, "target_stands", "tasks of several jobs stand still on a target; it gets no work for a while"},
-	{OrdersReturned, "orders_returned", "orders that waited for a target went back to their entries unstarted"},
-	{TargetCrashed, "target_crashed", "a target's life ended unannounced with tasks at work, or it stopped answering, or went on after that"},
-	{TaskCrashLoop, "task_crash_loop", "targets crashed under a task; it is not started again, and its job is answered as failed"},
-	{TargetResized, "target_resized", "a target's capacity has changed while it runs"},
+	{RunsStopped, "runs_stopped", "runs were stopped, or ended with their target, and no owner awaits their outcome"},
+	{AnnouncementStale, "announcement_stale", "a delayed announcement of an earlier incarnation of the target was ignored"},
+	{StartUnanswered, "start_unanswered", "a target did not answer a start; the call is retried, and then a stop fences the start off"},
+	{StartTurnedAway, "start_turned_away", "a target rejected the start of a task"},
+	{TargetBack, "target_back", "a target responds again"},
+	{ForeignRun, "foreign_run", "a target executes a run that an earlier agent started; the run is stopped"},
+	{TargetStands, "target_stands", "tasks of several jobs make no progress on a target; it receives no work for a while"},
+	{OrdersReturned, "orders_returned", "orders queued for a target were returned to their entries without being started"},
+	{TargetCrashed, "target_crashed", "a target's incarnation ended without announcement while tasks were active, or the target stopped responding, or it responded again after that"},
+	{TaskCrashLoop, "task_crash_loop", "targets crashed while running a task; it is not started again, and its job fails"},
+	{TargetResized, "target_resized", "a target's capacity changed while it was running"},
 }
 
 var names = func() map[ID]string {
@@ -179,10 +179,11 @@
 	return byID
 }()
 
-// String returns the event's name.
+// String returns the event's name, which is the message of its log lines.
 func (id ID) String() string { return names[id] }
 
-// Log writes the event with its number and name, then the key and value pairs.
+// Log writes the event with its name, its number under the key "event", and the key and value
+// pairs, which alternate. It does nothing if the logger is disabled.
 func Log(log logr.Logger, id ID, keysAndValues ...any) {
 	if !log.Enabled() {
 		return
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -12,26 +12,26 @@
 	. "github.com/onsi/gomega"
 )
 
-const page = "../../docs/events.md"
+const docPath = "../../docs/events.md"
 
-var row = regexp.MustCompile(`(?m)^\| (\d+) \| .*$`)
+var rowPattern = regexp.MustCompile(`(?m)^\| (\d+) \| .*$`)
 
-// An operator's alert matches on a number that the page lists. A number that is
-// missing there, or has another meaning, sends the operator the wrong way.
-func TestPageAndCatalogueAreTheSame(t *testing.T) {
+// Operators' alerts match on the numbers that the page lists. A number that is missing there, or
+// has another meaning, would mislead the operator.
+func TestEventsPageEqualsCatalogue(t *testing.T) {
 	g := NewWithT(t)
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(docPath)
 	g.Expect(err).NotTo(HaveOccurred())
 	var want []string
 	for _, e := range Catalogue {
 		want = append(want, fmt.Sprintf("| %d | %s | %s |", e.ID, e.Name, e.Text))
 	}
-	g.Expect(row.FindAllString(string(text), -1)).To(Equal(want))
+	g.Expect(rowPattern.FindAllString(string(text), -1)).To(Equal(want))
 }
 
-// An event without an entry in the catalogue would be logged with an empty name,
-// and one number given twice would make two events look the same.
-func TestEveryEventIsInTheCatalogueOnce(t *testing.T) {
+// An event without an entry in the catalogue would be logged with an empty name. Two events with
+// the same number would be indistinguishable.
+func TestEveryEventIsInTheCatalogueExactlyOnce(t *testing.T) {
 	g := NewWithT(t)
 	file, err := parser.ParseFile(token.NewFileSet(), "event.go", nil, 0)
 	g.Expect(err).NotTo(HaveOccurred())
