--- a/internal/job/id.go
+++ b/internal/job/id.go
@@ -82,7 +82,8 @@
 // String returns the id's text.
 func (id ID) String() string { return id.text }
 
-// NewID returns the id of a submission with an owner's token. The error is a *fault.Fault.
+// NewID returns the id of a submission to the owner of the token. The unique part distinguishes
+// ids with the same token and deadline. The error is a *fault.Fault.
 func NewID(token string, deadline time.Time, unique string, k Key) (ID, error) {
 	return ParseID(token+"-"+strconv.FormatInt(deadline.UnixMilli(), 10)+"-"+unique, k)
 }
--- a/internal/session/pulse.go
+++ b/internal/session/pulse.go
@@ -84,6 +84,8 @@
 	return l.recordContent(now, content), nil
 }
 
+// recordContent records a frame sent or received, and reports whether it made an idle
+// connection active.
 func (l *liveness) recordContent(now time.Time, content bool) (activated bool) {
 	if !content {
 		return false
@@ -96,6 +98,7 @@
 	return activated
 }
 
+// isActive reports whether a frame with content was sent or received within ActiveWindow.
 func (l *liveness) isActive(now time.Time) bool {
 	return now.Sub(l.lastContentAt) < l.options.ActiveWindow
 }
@@ -138,6 +141,7 @@
 	return ""
 }
 
+// silenceTimeout returns the timeout that applies to the active or idle connection.
 func (l *liveness) silenceTimeout(now time.Time) time.Duration {
 	if l.isActive(now) {
 		return l.options.SilenceTimeout
--- a/internal/session/queue.go
+++ b/internal/session/queue.go
@@ -36,7 +36,7 @@
 	return true
 }
 
-// wake wakes the writing goroutine, even if the queue is empty.
+// wake wakes the writing goroutine, also with an empty queue, so that it checks the connection.
 func (q *queue[T]) wake() {
 	select {
 	case q.ready <- struct{}{}:
--- a/internal/wire/leased.go
+++ b/internal/wire/leased.go
@@ -73,7 +73,7 @@
 
 // RunOutcome reports the result of an order.
 type RunOutcome struct {
-	Seq    uint64       `cbor:"1,keyasint"`
+	Seq    uint64       `cbor:"1,keyasint"` // Seq of the order
 	End    RunEnd       `cbor:"2,keyasint"`
 	Reason NotRunReason `cbor:"3,keyasint,omitempty"`
 	RunMs  float64      `cbor:"4,keyasint,omitempty"` // run time at the target
@@ -99,9 +99,9 @@
 type Load struct {
 	LastSeq     uint64                        `cbor:"1,keyasint"` // highest order of this session that the load includes
 	Free        job.Demand                    `cbor:"2,keyasint"`
-	WaitMs      [len(SlackHorizonsMs)]float64 `cbor:"3,keyasint"` // predicted queue wait of a typical task, by SlackHorizonsMs
-	Speed       float64                       `cbor:"4,keyasint"` // measured; 1 if tasks take their estimated time
-	FailureRate float64                       `cbor:"5,keyasint,omitempty"`
+	WaitMs      [len(SlackHorizonsMs)]float64 `cbor:"3,keyasint"`           // predicted queue wait of a typical task, by SlackHorizonsMs
+	Speed       float64                       `cbor:"4,keyasint"`           // measured; 1 if tasks take their estimated time
+	FailureRate float64                       `cbor:"5,keyasint,omitempty"` // exponentially weighted failure rate of runs, 0 to 1
 	Leaving     bool                          `cbor:"6,keyasint,omitempty"`
 	Down        bool                          `cbor:"7,keyasint,omitempty"` // the target does not respond
 	Rejecting   bool                          `cbor:"8,keyasint,omitempty"` // it rejects starts; running tasks continue
@@ -232,6 +232,7 @@
 	return nil
 }
 
+// estimatedBytes estimates the encoded size in bytes; l may be nil.
 func (l *LeasedToEntry) estimatedBytes() int {
 	if l == nil {
 		return 0
@@ -246,6 +247,7 @@
 	return n
 }
 
+// estimatedBytes estimates the encoded size in bytes; l may be nil.
 func (l *LeasedToAgent) estimatedBytes() int {
 	if l == nil {
 		return 0
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -110,7 +110,7 @@
 // Report reports the state of an attempt to its owner. A final report is repeated on
 // every new connection until the owner acknowledges it.
 type Report struct {
-	Seq    uint64       `cbor:"1,keyasint"`
+	Seq    uint64       `cbor:"1,keyasint"` // Start.Seq of the attempt
 	State  AttemptState `cbor:"2,keyasint"`
 	Reason Reason       `cbor:"3,keyasint,omitempty"`
 	Result []byte       `cbor:"4,keyasint,omitempty"`
