--- a/apps/camphorrack-dispatcher/main.go
+++ b/apps/camphorrack-dispatcher/main.go
@@ -16,5 +16,5 @@
 		fmt.Fprintln(os.Stderr, dispatcher.Program+":", err)
 		os.Exit(1)
 	}
-	daemon.Run(dispatcher.Program, platform.Dispatcher(settings))
+	daemon.Run(dispatcher.Program, platform.DispatcherModule(settings))
 }
--- a/apps/camphorrack-runner/main.go
+++ b/apps/camphorrack-runner/main.go
@@ -16,5 +16,5 @@
 		fmt.Fprintln(os.Stderr, runner.Program+":", err)
 		os.Exit(1)
 	}
-	daemon.Run(runner.Program, platform.Runner(settings))
+	daemon.Run(runner.Program, platform.RunnerModule(settings))
 }
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -162,7 +162,7 @@
 			f.Poll(context.Background())
 		}
 	}
-	return log.Appends()
+	return log.AppendCount()
 }
 
 // fanOutFleet is the design size with its connections, on a fake clock.
--- a/internal/config/fold_test.go
+++ b/internal/config/fold_test.go
@@ -177,7 +177,7 @@
 			_, err := ops.Publish(ctx, c)
 			Expect(codeOf(err)).To(Equal(fault.ConfigInvalid))
 		}
-		Expect(log.Appends()).To(BeZero())
+		Expect(log.AppendCount()).To(BeZero())
 	})
 
 	It("lays the narrowest exception over the defaults", func() {
--- a/internal/config/linearize_test.go
+++ b/internal/config/linearize_test.go
@@ -72,7 +72,7 @@
 				ops := config.NewPublisher(log, readOnce)
 				for i := range calls {
 					if rng.IntN(6) == 0 {
-						log.SetFaults([]logfake.Faults{{}, {}, {LoseAnswers: true}, {ReadDown: true}}[rng.IntN(4)])
+						log.SetFaults([]logfake.Faults{{}, {}, {LoseAnswers: true}, {ReadsUnavailable: true}}[rng.IntN(4)])
 					}
 					op, ok := operate(ops, int64(id*calls+i+1), rng.IntN(3) > 0, began)
 					if !ok {
--- a/internal/config/schedule_test.go
+++ b/internal/config/schedule_test.go
@@ -289,7 +289,7 @@
 
 func (f *fleet) calm() {
 	f.log.SetFaults(logfake.Faults{})
-	f.log.Land(config.Stream)
+	f.log.ApplyDelayed(config.Stream)
 	for range 60 {
 		f.clock.Advance(5 * time.Second)
 		for e := range f.entries {
@@ -331,10 +331,10 @@
 			"reconnect":  func(*rapid.T) { delete(f.pairs, [2]int{pick(entries), pick(agents)}) },
 			"wait":       func(*rapid.T) { f.clock.Advance(time.Duration(pick(120)) * time.Second) },
 			"restart":    func(*rapid.T) { f.startEntry(pick(entries)) },
-			"land":       func(*rapid.T) { f.log.Land(config.Stream) },
+			"land":       func(*rapid.T) { f.log.ApplyDelayed(config.Stream) },
 			"well again": func(*rapid.T) { f.log.SetFaults(logfake.Faults{}) },
 			"fault": func(*rapid.T) {
-				f.log.SetFaults([]logfake.Faults{{Down: true}, {ReadDown: true}, {LoseAnswers: true}, {Late: true}}[pick(4)])
+				f.log.SetFaults([]logfake.Faults{{Unavailable: true}, {ReadsUnavailable: true}, {LoseAnswers: true}, {DelayAppends: true}}[pick(4)])
 			},
 			"truncate": func(*rapid.T) {
 				f.sync()
--- a/internal/dispatcher/answer.go
+++ b/internal/dispatcher/answer.go
@@ -16,16 +16,18 @@
 // Routes returns the routing table of the configuration in force, or nil if there is none yet.
 func (d *Dispatcher) Routes() *routing.Table { return d.routes.Load() }
 
-// Leaving reports whether the daemon is shutting down.
-func (d *Dispatcher) Leaving() bool { return d.draining.Load() }
+// Draining reports whether the daemon is shutting down.
+func (d *Dispatcher) Draining() bool { return d.draining.Load() }
 
-// Counted records the HTTP status and the duration of a response in the metrics.
-func (d *Dispatcher) Counted(status int, took time.Duration) { d.metrics.observeResponse(status, took) }
+// ObserveResponse records the HTTP status and the duration of a response in the metrics.
+func (d *Dispatcher) ObserveResponse(status int, took time.Duration) {
+	d.metrics.observeResponse(status, took)
+}
 
-// Answer submits a job and waits for its only answer. If ctx ends first, because the caller
+// Execute submits a job and waits for its only answer. If ctx ends first, because the caller
 // has disconnected, the job is abandoned and its outcome is unknown. If the command queue is
 // full for submitTimeout, the answer is that the job was not run.
-func (d *Dispatcher) Answer(ctx context.Context, j *dispatch.Job) dispatch.Answer {
+func (d *Dispatcher) Execute(ctx context.Context, j *dispatch.Job) dispatch.Answer {
 	d.setDeadline(j)
 	answers := make(chan dispatch.Answer, 1)
 	err := d.loop.Post(submitTimeout, func(now time.Time, s *state) {
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -46,7 +46,7 @@
 	ProcessorShare   float64       // processor time available to the process, in cores
 	LinkMbps         float64       // bandwidth of the host's network link; 0: unknown
 
-	Store               platformlog.Keyed
+	Store               platformlog.KeyedLog
 	Operator            leased.OperatorTopic
 	ConfigVersion       func(body []byte) (uint64, error)
 	ParseConfig         func(body []byte) (*routing.Table, error)
@@ -220,7 +220,7 @@
 	d.servers.Serve()
 	go platformlog.Watch(ctx, d.log, d.o.Store, d.o.Operator.Name, operatorReader{d})
 	record := leased.Record{Addr: d.o.SessionAddr, DataCentre: d.o.DataCentre}
-	go platformlog.Keep(ctx, d.log, d.o.Store, leased.EntriesTopic, d.o.Host, record.Encode())
+	go platformlog.PutWithRetry(ctx, d.log, d.o.Store, leased.EntriesTopic, d.o.Host, record.Encode())
 	event.Log(d.log, event.ProcessStarted, "host", d.o.Host, "data_centre", d.o.DataCentre, "callers", d.o.CallerAddr,
 		"inner", d.o.SessionAddr, "incarnation", d.incarnation.String(), "memory_mb", d.o.MemoryMB)
 }
--- a/internal/dispatcher/operator.go
+++ b/internal/dispatcher/operator.go
@@ -11,9 +11,9 @@
 // platform's log.
 type operatorReader struct{ *Dispatcher }
 
-// Snapshot implements platformlog.Reader. Evacuations are applied before a configuration,
+// OnSnapshot implements platformlog.Observer. Evacuations are applied before a configuration,
 // because jobs are accepted as soon as a configuration is in force.
-func (r operatorReader) Snapshot(entries []platformlog.Entry, end uint64) {
+func (r operatorReader) OnSnapshot(entries []platformlog.Entry, end uint64) {
 	records := r.o.Operator.EvacuationRecords(r.log, entries...)
 	r.push(func(now time.Time, s *state) { s.evacuations.MergeSnapshot(now, records, end) })
 	for _, e := range entries {
@@ -21,8 +21,8 @@
 	}
 }
 
-// Changed implements platformlog.Reader.
-func (r operatorReader) Changed(e platformlog.Entry) {
+// OnChange implements platformlog.Observer.
+func (r operatorReader) OnChange(e platformlog.Entry) {
 	for _, record := range r.o.Operator.EvacuationRecords(r.log, e) {
 		r.push(func(now time.Time, s *state) { s.evacuations.MergeRecord(now, record) })
 	}
--- a/internal/platformlog/errors.go
+++ b/internal/platformlog/errors.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// DownError says that the log did not answer and that nothing was written.
-type DownError struct {
+// UnavailableError says that the log did not answer and that nothing was written.
+type UnavailableError struct {
 	Op    string
 	Cause error
 }
 
 // Error implements error.
-func (e *DownError) Error() string { return fmt.Sprintf("log down: %s: %v", e.Op, e.Cause) }
+func (e *UnavailableError) Error() string { return fmt.Sprintf("log down: %s: %v", e.Op, e.Cause) }
 
 // Unwrap returns what the network or the service said.
-func (e *DownError) Unwrap() error { return e.Cause }
+func (e *UnavailableError) Unwrap() error { return e.Cause }
 
 // UndecidedError says that an append's answer was lost: the record may have been
 // written, or may still be.
@@ -40,14 +40,14 @@
 	return fmt.Sprintf("records from %d on were dropped, the lowest kept is %d", e.From, e.Lowest)
 }
 
-// AheadError says that From lies past the end: the stream was lost or replaced.
-type AheadError struct {
+// PastEndError says that From lies past the end: the stream was lost or replaced.
+type PastEndError struct {
 	From uint64
 	End  uint64 // offset the next record will get
 }
 
 // Error implements error.
-func (e *AheadError) Error() string {
+func (e *PastEndError) Error() string {
 	return fmt.Sprintf("offset %d is past the end %d of the stream", e.From, e.End)
 }
 
--- a/internal/platformlog/keyed.go
+++ b/internal/platformlog/keyed.go
@@ -19,31 +19,31 @@
 	Offset uint64 // of its record
 }
 
-// Reader is told what Watch reads of a keyed topic, from one goroutine.
-type Reader interface {
-	// Snapshot takes every key's newest value. A key that it lacks was dropped, if it was
+// Observer is told what Watch reads of a keyed topic, from one goroutine.
+type Observer interface {
+	// OnSnapshot takes every key's newest value. A key that it lacks was dropped, if it was
 	// ever written below the offset end.
-	Snapshot(entries []Entry, end uint64)
-	// Changed takes a record written after the last Snapshot or Changed.
-	Changed(Entry)
+	OnSnapshot(entries []Entry, end uint64)
+	// OnChange takes a record written after the last OnSnapshot or OnChange.
+	OnChange(Entry)
 }
 
-// ReadEach is a Reader to which it is the same how an entry was read.
-type ReadEach func(Entry)
+// ObserverFunc is an Observer to which it is the same how an entry was read.
+type ObserverFunc func(Entry)
 
-// Snapshot implements Reader.
-func (f ReadEach) Snapshot(entries []Entry, _ uint64) {
+// OnSnapshot implements Observer.
+func (f ObserverFunc) OnSnapshot(entries []Entry, _ uint64) {
 	for _, e := range entries {
 		f(e)
 	}
 }
 
-// Changed implements Reader.
-func (f ReadEach) Changed(e Entry) { f(e) }
+// OnChange implements Observer.
+func (f ObserverFunc) OnChange(e Entry) { f(e) }
 
-// Keyed is the platform's log as its keyed topics show it: of each key the newest
+// KeyedLog is the platform's log as its keyed topics show it: of each key the newest
 // value is kept for good, older ones for a limited time.
-type Keyed interface {
+type KeyedLog interface {
 	// Put writes a key's value. After an error it may have been written.
 	Put(ctx context.Context, topic, key string, value []byte) error
 	// Newest returns every key's value, and the offset from which to follow.
@@ -66,9 +66,9 @@
 
 // Watch reads a keyed topic and follows it until the context ends, and logs when the log
 // is lost and regained. The newest values are read again after each loss.
-func Watch(ctx context.Context, log logr.Logger, k Keyed, topic string, reader Reader) {
+func Watch(ctx context.Context, log logr.Logger, k KeyedLog, topic string, reader Observer) {
 	w := &watch{log: log, topic: topic}
-	retry := NewRetry()
+	retry := NewBackOff()
 	var next uint64
 	reread := true
 	for ctx.Err() == nil {
@@ -95,11 +95,11 @@
 		retry.Reset()
 		if reread {
 			reread = false
-			reader.Snapshot(entries, next)
+			reader.OnSnapshot(entries, next)
 			continue
 		}
 		for _, e := range entries {
-			reader.Changed(e)
+			reader.OnChange(e)
 		}
 	}
 }
@@ -127,10 +127,10 @@
 	w.lostAt = time.Time{}
 }
 
-// Keep writes a key's value, again and again until the log has taken it.
-func Keep(ctx context.Context, log logr.Logger, k Keyed, topic, key string, value []byte) {
+// PutWithRetry writes a key's value, again and again until the log has taken it.
+func PutWithRetry(ctx context.Context, log logr.Logger, k KeyedLog, topic, key string, value []byte) {
 	w := &watch{log: log, topic: topic}
-	retry := NewRetry()
+	retry := NewBackOff()
 	for ctx.Err() == nil {
 		err := k.Put(ctx, topic, key, value)
 		if err == nil {
@@ -143,8 +143,8 @@
 	}
 }
 
-// NewRetry returns the pauses between calls that fail.
-func NewRetry() *backoff.ExponentialBackOff {
+// NewBackOff returns the pauses between calls that fail.
+func NewBackOff() *backoff.ExponentialBackOff {
 	return backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(firstRetry), backoff.WithMaxInterval(lastRetry), backoff.WithMaxElapsedTime(0),
 	)
--- a/internal/platformlog/logfake/logfake.go
+++ b/internal/platformlog/logfake/logfake.go
@@ -15,17 +15,17 @@
 
 // Faults says how the log misbehaves.
 type Faults struct {
-	Down        bool          // appends and reads fail and nothing is written
-	ReadDown    bool          // only reads fail
-	LoseAnswers bool          // appends are written and the answer is lost
-	Late        bool          // appends are held back, and land at the next Land
-	Delay       time.Duration // added to every call
+	Unavailable      bool          // appends and reads fail and nothing is written
+	ReadsUnavailable bool          // only reads fail
+	LoseAnswers      bool          // appends are written and the answer is lost
+	DelayAppends     bool          // appends are held back, and land at the next Land
+	Delay            time.Duration // added to every call
 }
 
 // Causes carried by the errors.
 var (
-	ErrDown = errors.New("service unavailable")
-	ErrLost = errors.New("connection reset before the answer")
+	ErrUnavailable = errors.New("service unavailable")
+	ErrAnswerLost  = errors.New("connection reset before the answer")
 )
 
 type stream struct {
@@ -82,21 +82,21 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.faults.Down {
-		return 0, &platformlog.DownError{Op: "append", Cause: ErrDown}
+	if l.faults.Unavailable {
+		return 0, &platformlog.UnavailableError{Op: "append", Cause: ErrUnavailable}
 	}
 	if len(record) > platformlog.MaxRecordBytes {
 		return 0, &platformlog.RefusedError{Status: 413, Detail: "record too large"}
 	}
 	s := l.stream(name)
 	data := append([]byte(nil), record...)
-	if l.faults.Late {
+	if l.faults.DelayAppends {
 		s.late = append(s.late, data)
-		return 0, &platformlog.UndecidedError{Stream: name, Cause: ErrLost}
+		return 0, &platformlog.UndecidedError{Stream: name, Cause: ErrAnswerLost}
 	}
 	offset := l.write(s, data)
 	if l.faults.LoseAnswers {
-		return 0, &platformlog.UndecidedError{Stream: name, Cause: ErrLost}
+		return 0, &platformlog.UndecidedError{Stream: name, Cause: ErrAnswerLost}
 	}
 	return offset, nil
 }
@@ -112,19 +112,19 @@
 // Read implements platformlog.Log.
 func (l *Log) Read(ctx context.Context, name string, from uint64, max int) ([]platformlog.Record, uint64, error) {
 	if err := l.wait(ctx); err != nil {
-		return nil, from, &platformlog.DownError{Op: "read", Cause: err}
+		return nil, from, &platformlog.UnavailableError{Op: "read", Cause: err}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.faults.Down || l.faults.ReadDown {
-		return nil, from, &platformlog.DownError{Op: "read", Cause: ErrDown}
+	if l.faults.Unavailable || l.faults.ReadsUnavailable {
+		return nil, from, &platformlog.UnavailableError{Op: "read", Cause: ErrUnavailable}
 	}
 	s := l.stream(name)
 	if from < s.lowest {
 		return nil, from, &platformlog.TruncatedError{From: from, Lowest: s.lowest}
 	}
 	if from > s.end() {
-		return nil, from, &platformlog.AheadError{From: from, End: s.end()}
+		return nil, from, &platformlog.PastEndError{From: from, End: s.end()}
 	}
 	if max <= 0 || max > platformlog.MaxReadRecords {
 		max = platformlog.MaxReadRecords
@@ -157,8 +157,8 @@
 	}
 }
 
-// Land writes the appends that were held back and returns how many there were.
-func (l *Log) Land(name string) int {
+// ApplyDelayed writes the appends that were held back and returns how many there were.
+func (l *Log) ApplyDelayed(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
@@ -207,8 +207,8 @@
 	return s.lowest, s.end()
 }
 
-// Appends returns how many records were written in all.
-func (l *Log) Appends() uint64 {
+// AppendCount returns how many records were written in all.
+func (l *Log) AppendCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
--- a/internal/platformlog/platformlog.go
+++ b/internal/platformlog/platformlog.go
@@ -22,14 +22,14 @@
 
 // Log is the platform's log.
 type Log interface {
-	// Append adds a record and returns its offset. The error is a *DownError
+	// Append adds a record and returns its offset. The error is an *UnavailableError
 	// (certainly not written), an *UndecidedError (may have been written, now or
 	// still to come) or a *RefusedError.
 	Append(ctx context.Context, stream string, record []byte) (offset uint64, err error)
 	// Read returns records from offset `from` on, in order and with none left out,
 	// at most max of them (0: as many as fit), and the offset to read from next.
 	// At the end of the stream it returns no records and next == from. The error
-	// is a *DownError, a *TruncatedError, a *AheadError or a *RefusedError.
+	// is an *UnavailableError, a *TruncatedError, a *PastEndError or a *RefusedError.
 	Read(ctx context.Context, stream string, from uint64, max int) (records []Record, next uint64, err error)
 }
 
--- a/internal/runner/memory.go
+++ b/internal/runner/memory.go
@@ -56,7 +56,7 @@
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.cancelOlderWrite = cancel
-	go platformlog.Keep(ctx, r.log, r.opts.Store, recordTopic(r.opts.Host), r.opts.Host, value)
+	go platformlog.PutWithRetry(ctx, r.log, r.opts.Store, recordTopic(r.opts.Host), r.opts.Host, value)
 }
 
 // restoreTarget reads the target's record and restores it into the control state. If the
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -49,7 +49,7 @@
 	LeaseLimit       time.Duration // longest lease
 	MemoryMB         int           // the host's memory limit for the process
 
-	Store              platformlog.Keyed
+	Store              platformlog.KeyedLog
 	Target             Target
 	ClassifyRenewError func(error) runs.RenewFailure // of an error of Target.Renew
 	NewTargetHandler   func(*Runner) http.Handler    // serves TargetsAddr
@@ -212,7 +212,7 @@
 	r.servers.Serve()
 	r.AddEntryAddrs(r.opts.Neighbours)
 	go r.restoreTarget(r.ctx)
-	go platformlog.Watch(r.ctx, r.log, r.opts.Store, leased.EntriesTopic, platformlog.ReadEach(r.handleEntryRecord))
+	go platformlog.Watch(r.ctx, r.log, r.opts.Store, leased.EntriesTopic, platformlog.ObserverFunc(r.handleEntryRecord))
 	go r.renewLoop(r.ctx)
 	event.Log(r.log, event.ProcessStarted, "host", r.opts.Host, "data_centre", r.opts.DataCentre,
 		"incarnation", r.incarnation.String(), "memory_mb", r.opts.MemoryMB)
