--- a/command/config.go
+++ b/command/config.go
@@ -89,7 +89,7 @@
 	f.second = f.Int64("second", unsetVersion, "diff: the newer version (default: the current one)")
 	f.change = f.String("change", "", "resolve: id of the change that was undecided")
 	f.from = f.String("from", "", "restart: address of an entry or agent whose configuration to take")
-	f.wait = f.Duration("wait", config.DefaultWait, "how long to look for a change in the log")
+	f.wait = f.Duration("wait", config.DefaultReadBackTimeout, "how long to look for a change in the log")
 	f.AddCheck("log", func() string {
 		u, err := url.Parse(*f.log)
 		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
--- a/command/configshow.go
+++ b/command/configshow.go
@@ -15,7 +15,7 @@
 // configGet prints what is in force: everything, or the keys asked for.
 func configGet(ctx context.Context, f *configFlags, p *config.Publisher, keys []string) int {
 	for _, k := range keys {
-		if _, ok := config.Define(config.Key(k)); !ok {
+		if _, ok := config.LookupDefinition(config.Key(k)); !ok {
 			return f.fail(wrongUsage("no such setting: " + k))
 		}
 	}
@@ -98,10 +98,10 @@
 	Why     string          `json:"why,omitempty"`
 }
 
-func (f *configFlags) printVerdict(v *config.Verdict) {
+func (f *configFlags) printVerdict(v *config.Result) {
 	line := historyLine{Offset: v.Offset, Outcome: v.Outcome.String(), Change: v.Change, Restart: v.Restart}
-	if v.Why != nil {
-		line.Why = v.Why.Error()
+	if v.Err != nil {
+		line.Why = v.Err.Error()
 	}
 	if *f.json {
 		printJSON(f.env.Stdout, line)
@@ -160,7 +160,7 @@
 	return ExitDone
 }
 
-func versionOf(verdicts []config.Verdict, current *config.State, version uint64) *config.State {
+func versionOf(verdicts []config.Result, current *config.State, version uint64) *config.State {
 	if version == 0 {
 		return &config.State{}
 	}
@@ -168,8 +168,8 @@
 		return current
 	}
 	for i := range verdicts {
-		if v := &verdicts[i]; v.Outcome == config.Accepted && v.Winner.Version == version {
-			return v.Winner
+		if v := &verdicts[i]; v.Outcome == config.Accepted && v.State.Version == version {
+			return v.State
 		}
 	}
 	return nil
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -39,7 +39,7 @@
 	metrics     *counters
 	control     *controlLoop
 	dialers     *dialers
-	holder      *config.Holder
+	holder      *config.Replica
 	fanOut      *config.FanOut
 	stopFanOut  context.CancelFunc
 	listener    net.Listener
@@ -69,7 +69,7 @@
 	a.control = newControl(s, a.clock, a.metrics.TurnObserver(log))
 	a.dialers = newDialers(a)
 	a.metrics.registerMemberGauges(a.dialers)
-	a.holder = config.NewHolder(config.Where{DataCentre: o.DataCentre, Rack: o.Rack}, a.clock, log)
+	a.holder = config.NewReplica(config.Location{DataCentre: o.DataCentre, Rack: o.Rack}, a.clock, log)
 	a.fanOut = config.NewFanOut(a.holder)
 	a.metrics.RegisterConfig(a.holder)
 	a.unusedConns = httpconn.NewUnusedConns()
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -29,7 +29,7 @@
 	g.NoMethod(unknownPath)
 	g.POST(targetapi.AnnouncePath, a.handleAnnounce)
 	g.GET("/v1/status", a.handleStatus)
-	g.GET(config.Path, a.handleConfig)
+	g.GET(config.ReportPath, a.handleConfig)
 	g.POST("/v1/drain", a.handleDrain)
 	g.GET("/healthz", a.handleHealth)
 	g.GET("/metrics", a.handleMetrics)
--- a/internal/agent/entrysession.go
+++ b/internal/agent/entrysession.go
@@ -73,7 +73,7 @@
 		}
 	}
 	s.learnEntries(f)
-	if err := s.config.Heard(f.Version, f.Config); err != nil {
+	if err := s.config.Receive(f.Version, f.Config); err != nil {
 		return err
 	}
 	if isHeartbeat(f) {
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -65,17 +65,17 @@
 // BenchmarkApplyFromLog is what an entry spends on one change that it read.
 func BenchmarkApplyFromLog(b *testing.B) {
 	state := designState(b)
-	holder := config.NewHolder(config.Where{DataCentre: "dc1", Entry: "10.0.0.1:7400"}, clock.NewAnchored(), logr.Discard())
+	holder := config.NewReplica(config.Location{DataCentre: "dc1", Entry: "10.0.0.1:7400"}, clock.NewAnchored(), logr.Discard())
 	fold := config.NewFold(state)
 	size := 0
 	for i := range b.N {
-		next := fold.Next()
+		next := fold.NextOffset()
 		data := encodeChange(b, designChange(fold.State().Version, i))
 		size = len(data)
 		records := []platformlog.Record{{Offset: next, Data: data}}
-		_, err := fold.Take(next, records, next+1)
+		_, err := fold.Apply(next, records, next+1)
 		must(b, err)
-		holder.Extend(fold.State(), config.Batch{From: next, Records: records})
+		holder.ApplyRead(fold.State(), config.Batch{From: next, Records: records})
 	}
 	encoded, err := config.EncodeState(state)
 	must(b, err)
@@ -91,28 +91,28 @@
 			fold := config.NewFold(entry.Get().State)
 			size := 0
 			for i := range b.N {
-				next := fold.Next()
+				next := fold.NextOffset()
 				records := []platformlog.Record{{Offset: next, Data: encodeChange(b, designChange(fold.State().Version, i))}}
-				_, err := fold.Take(next, records, next+1)
+				_, err := fold.Apply(next, records, next+1)
 				must(b, err)
-				entry.Extend(fold.State(), config.Batch{From: next, Records: records})
-				mark := agent.Mark()
+				entry.ApplyRead(fold.State(), config.Batch{From: next, Records: records})
+				mark := agent.Position()
 				if whole {
 					mark = 0 // as a peer that knows nothing
 				}
-				update, err := entry.Update(mark)
+				update, err := entry.EncodeUpdate(mark)
 				must(b, err)
 				size = len(update)
-				must(b, agent.OfferUpdate(update))
+				must(b, agent.ApplyUpdate(update))
 			}
 			b.ReportMetric(float64(size), "update-B")
 		})
 	}
 }
 
-func holderAt(b *testing.B) *config.Holder {
-	h := config.NewHolder(config.Where{}, clock.NewAnchored(), logr.Discard())
-	h.Offer(designState(b), "log")
+func holderAt(b *testing.B) *config.Replica {
+	h := config.NewReplica(config.Location{}, clock.NewAnchored(), logr.Discard())
+	h.ApplyState(designState(b), "log")
 	return h
 }
 
@@ -124,13 +124,13 @@
 	fan := config.NewFanOut(nil)
 	for i := range perEntry {
 		p := fan.Add(config.NewEntryLink(holder, rand.New(rand.NewPCG(1, uint64(i)))), func(uint64, []byte) {})
-		must(b, p.Heard(holder.Mark()+1, nil))
+		must(b, p.Receive(holder.Position()+1, nil))
 	}
 	now := time.Now()
-	fan.Tell(now)
+	fan.SendDue(now)
 	b.ResetTimer()
 	for range b.N {
-		fan.Tell(now)
+		fan.SendDue(now)
 	}
 	b.ReportMetric(perEntry, "agents")
 }
@@ -152,7 +152,7 @@
 	for i := range entries {
 		followers = append(followers, follower.New(follower.Options{
 			Log: log, Clock: k, Logger: logr.Discard(), Rand: rand.New(rand.NewPCG(1, uint64(i))),
-			Holder: config.NewHolder(config.Where{}, k, logr.Discard()),
+			Replica: config.NewReplica(config.Location{}, k, logr.Discard()),
 		}))
 	}
 	const step = 2 * time.Second
@@ -170,11 +170,11 @@
 	b         *testing.B
 	clock     *clock.Fake
 	log       *logfake.Log
-	entries   []*config.Holder
+	entries   []*config.Replica
 	followers []*follower.Follower
 	pollAt    []time.Time
 	fans      []*config.FanOut
-	agents    []*config.Holder
+	agents    []*config.Replica
 	agentFan  *config.FanOut
 	queue     []func()
 	sent      int // bytes of frames from entries
@@ -186,17 +186,17 @@
 	f := &fanOutFleet{b: b, clock: clock.NewFake(time.Unix(0, 0)), log: logfake.New(), agentFan: config.NewFanOut(nil)}
 	start := designState(b)
 	for i := range assumedEntries {
-		h := config.NewHolder(config.Where{}, f.clock, logr.Discard())
+		h := config.NewReplica(config.Location{}, f.clock, logr.Discard())
 		f.entries = append(f.entries, h)
 		f.fans = append(f.fans, config.NewFanOut(nil))
-		f.followers = append(f.followers, follower.New(follower.Options{Log: f.log, Holder: h, Clock: f.clock, Logger: logr.Discard(), Rand: rand.New(rand.NewPCG(2, uint64(i)))}))
+		f.followers = append(f.followers, follower.New(follower.Options{Log: f.log, Replica: h, Clock: f.clock, Logger: logr.Discard(), Rand: rand.New(rand.NewPCG(2, uint64(i)))}))
 		f.pollAt = append(f.pollAt, f.clock.Now())
 	}
 	_, err := f.log.Append(context.Background(), config.Stream, encodeChange(b, changeOf(start)))
 	must(b, err)
 	rng := rand.New(rand.NewPCG(3, 0))
 	for range designAgents {
-		h := config.NewHolder(config.Where{}, f.clock, logr.Discard())
+		h := config.NewReplica(config.Location{}, f.clock, logr.Discard())
 		f.agents = append(f.agents, h)
 		for _, e := range rng.Perm(assumedEntries)[:assumedLinks] {
 			f.connect(e, h, rng)
@@ -209,7 +209,7 @@
 	return &config.Change{ID: "first", Author: s.Author, Reason: s.Reason, Set: s.Settings, Add: s.Exceptions}
 }
 
-func (f *fanOutFleet) connect(e int, agent *config.Holder, rng *rand.Rand) {
+func (f *fanOutFleet) connect(e int, agent *config.Replica, rng *rand.Rand) {
 	var atEntry, atAgent *config.Peer
 	link := func() *rand.Rand { return rand.New(rand.NewPCG(rng.Uint64(), 0)) }
 	atEntry = f.fans[e].Add(config.NewEntryLink(f.entries[e], link()), func(mark uint64, update []byte) {
@@ -219,13 +219,13 @@
 		if update != nil {
 			f.updates++
 		}
-		f.queue = append(f.queue, func() { must(f.b, atAgent.Heard(mark, update)) })
+		f.queue = append(f.queue, func() { must(f.b, atAgent.Receive(mark, update)) })
 	})
 	atAgent = f.agentFan.Add(config.NewAgentLink(agent, link()), func(mark uint64, update []byte) {
 		frame, err := wire.Encode(&wire.ToEntry{Seq: 1 << 20, AckSeq: 1 << 20, Version: mark, Config: update})
 		must(f.b, err)
 		f.returned += len(frame)
-		f.queue = append(f.queue, func() { must(f.b, atEntry.Heard(mark, update)) })
+		f.queue = append(f.queue, func() { must(f.b, atEntry.Receive(mark, update)) })
 	})
 }
 
@@ -239,9 +239,9 @@
 		}
 	}
 	for _, fan := range f.fans {
-		fan.Tell(now)
+		fan.SendDue(now)
 	}
-	f.agentFan.Tell(now)
+	f.agentFan.SendDue(now)
 	queue := f.queue
 	f.queue = nil
 	for _, deliver := range queue {
@@ -250,7 +250,7 @@
 }
 
 func (f *fanOutFleet) inForce(version uint64) bool {
-	for _, holders := range [][]*config.Holder{f.entries, f.agents} {
+	for _, holders := range [][]*config.Replica{f.entries, f.agents} {
 		for _, h := range holders {
 			if h.Get().State.Version < version {
 				return false
--- a/internal/config/catalogue.go
+++ b/internal/config/catalogue.go
@@ -33,7 +33,7 @@
 	Default  int64
 	Min, Max int64
 	Scopes   []ScopeKind // where an exception may change it; none: fleet-wide only
-	Text     string
+	Description     string
 	field    func(*Settings) *int64
 }
 
@@ -42,11 +42,11 @@
 	MaxJobs        int64 // ids an entry holds, below its own -max-jobs
 	SoftQueueMs    int64 // queue from which teams above their share are turned away
 	HardQueueMs    int64 // queue from which everything is turned away
-	CautionPercent int64 // of the expected wait that a job must stand before its deadline
+	OvertakeFactorPercent int64 // of the expected wait that a job must stand before its deadline
 	MaxDeadlineMs  int64 // farthest deadline a caller may ask for, below -max-timeout
-	BrokenPercent  int64 // failure rate that a broken target is taken to have
-	FirstTrialMs   int64 // wait before a broken target's first trial task
-	LastTrialMs    int64 // longest wait between its trial tasks
+	BrokenFailurePercent  int64 // failure rate that a broken target is taken to have
+	InitialTrialIntervalMs   int64 // wait before a broken target's first trial task
+	MaxTrialIntervalMs    int64 // longest wait between its trial tasks
 	DefaultQuota   int64 // tasks of one team that may run at a time; 0 means no limit
 	Drain          bool  // takes no new work
 	drain          int64
@@ -72,21 +72,21 @@
 	{"drain", "0 or 1", 0, 0, 1, []ScopeKind{ScopeDataCentre, ScopeRack, ScopeTarget},
 		"1: gets no new work and finishes what it has", func(s *Settings) *int64 { return &s.drain }},
 	{"health.broken_percent", "%", 60, 5, 99, nil,
-		"failure rate that a broken target is taken to have; lower finds more of them", func(s *Settings) *int64 { return &s.BrokenPercent }},
+		"failure rate that a broken target is taken to have; lower finds more of them", func(s *Settings) *int64 { return &s.BrokenFailurePercent }},
 	{"health.first_trial_ms", "ms", health.InitialTrialInterval.Milliseconds(), 100, 600_000, nil,
-		"wait before a broken target gets a trial task", func(s *Settings) *int64 { return &s.FirstTrialMs }},
+		"wait before a broken target gets a trial task", func(s *Settings) *int64 { return &s.InitialTrialIntervalMs }},
 	{"health.last_trial_ms", "ms", health.MaxTrialInterval.Milliseconds(), 100, 3_600_000, nil,
-		"longest wait between the trial tasks of a broken target", func(s *Settings) *int64 { return &s.LastTrialMs }},
+		"longest wait between the trial tasks of a broken target", func(s *Settings) *int64 { return &s.MaxTrialIntervalMs }},
 	{"policy.caution_percent", "%", 100 * admission.OvertakeFactor, 50, 1_000, []ScopeKind{ScopeDataCentre, ScopeEntry},
-		"trade between response and waste: by how much an entry takes the wait before a job to be longer than it looks; higher starts less work that comes to nothing, lower lets more in", func(s *Settings) *int64 { return &s.CautionPercent }},
+		"trade between response and waste: by how much an entry takes the wait before a job to be longer than it looks; higher starts less work that comes to nothing, lower lets more in", func(s *Settings) *int64 { return &s.OvertakeFactorPercent }},
 	{"quota.default", "tasks", 0, 0, 10_000_000, nil,
 		"tasks of a team without a quota of its own that may run at a time; 0: no limit", func(s *Settings) *int64 { return &s.DefaultQuota }},
 }
 
-var teamQuota = Definition{Unit: "tasks", Min: 1, Max: 10_000_000, Text: "tasks of the team that may run at a time"}
+var teamQuota = Definition{Unit: "tasks", Min: 1, Max: 10_000_000, Description: "tasks of the team that may run at a time"}
 
-// Define returns the definition of a key, also of a team's quota.
-func Define(k Key) (Definition, bool) {
+// LookupDefinition returns the definition of a key, also of a team's quota.
+func LookupDefinition(k Key) (Definition, bool) {
 	if team, ok := strings.CutPrefix(string(k), QuotaPrefix); ok {
 		d := teamQuota
 		d.Key = k
@@ -101,13 +101,13 @@
 	return Catalogue[i], true
 }
 
-// Where names a process or a target for the resolution of exceptions. Empty
+// Location names a process or a target for the resolution of exceptions. Empty
 // parts fit no exception.
-type Where struct {
+type Location struct {
 	DataCentre, Rack, Entry, Target string
 }
 
-func (w Where) names(kind ScopeKind) string {
+func (w Location) names(kind ScopeKind) string {
 	switch kind {
 	case ScopeDataCentre:
 		return w.DataCentre
@@ -127,7 +127,7 @@
 // Resolve returns the settings in force at one place. Keys of a newer program
 // are skipped and values out of range are brought to the nearest bound: a process
 // must go on with what it can use, and all processes carry the same state on.
-func (s *State) Resolve(w Where) Settings {
+func (s *State) Resolve(w Location) Settings {
 	var out Settings
 	for _, d := range Catalogue {
 		*d.field(&out) = d.Default
@@ -151,7 +151,7 @@
 }
 
 func assign(out *Settings, k Key, v int64) {
-	d, ok := Define(k)
+	d, ok := LookupDefinition(k)
 	if !ok || d.field == nil {
 		return
 	}
--- a/internal/config/fanout.go
+++ b/internal/config/fanout.go
@@ -25,7 +25,7 @@
 // FanOut tells the peers at the ends of a process's connections of changes. It is
 // safe for concurrent use.
 type FanOut struct {
-	stale *Holder // says when it is stale; nil where a follower does
+	stale *Replica // says when it is stale; nil where a follower does
 	mu    sync.Mutex
 	peers map[*Peer]bool
 }
@@ -41,7 +41,7 @@
 
 // NewFanOut returns a FanOut without connections. stale is the holder of a process
 // that hears of configuration from its peers alone, or nil.
-func NewFanOut(stale *Holder) *FanOut { return &FanOut{stale: stale, peers: map[*Peer]bool{}} }
+func NewFanOut(stale *Replica) *FanOut { return &FanOut{stale: stale, peers: map[*Peer]bool{}} }
 
 // Add takes a new connection in. send puts the mark and the update, which may be
 // empty, on a frame; it must not block.
@@ -60,17 +60,17 @@
 	delete(f.peers, p)
 }
 
-// Heard takes what a frame said about configuration; see Link.Heard. A frame that
+// Receive takes what a frame said about configuration; see Link.Receive. A frame that
 // says nothing (mark 0, no update) is passed over. So is an update of a newer
 // format: during a roll-out it must not cost the connection, and a process that
 // can't follow says that it is stale.
-func (p *Peer) Heard(mark uint64, update []byte) error {
+func (p *Peer) Receive(mark uint64, update []byte) error {
 	if mark == 0 && len(update) == 0 {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	err := p.link.Heard(max(mark, 1)-1, update)
+	err := p.link.Receive(max(mark, 1)-1, update)
 	var format *FormatError
 	if errors.As(err, &format) {
 		return nil
@@ -83,7 +83,7 @@
 func (p *Peer) tell(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	mark, update := p.link.Next(now)
+	mark, update := p.link.PrepareFrame(now)
 	vouch := now.Sub(p.at) >= vouchEvery && p.link.vouches()
 	if p.said == mark && update == nil && !p.at.IsZero() && !vouch {
 		return
@@ -92,8 +92,8 @@
 	p.send(mark+1, update)
 }
 
-// Tell sends what is due on every connection.
-func (f *FanOut) Tell(now time.Time) {
+// SendDue sends what is due on every connection.
+func (f *FanOut) SendDue(now time.Time) {
 	f.mu.Lock()
 	peers := make([]*Peer, 0, len(f.peers))
 	for p := range f.peers {
@@ -114,9 +114,9 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			f.Tell(now)
+			f.SendDue(now)
 			if f.stale != nil {
-				f.stale.SayStale(PeerStaleAfter)
+				f.stale.LogIfStale(PeerStaleAfter)
 			}
 		}
 	}
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -16,10 +16,10 @@
 const (
 	Ignored   Outcome = iota
 	Accepted          // the change made a new version
-	VoidBase          // its base was no longer the current version
-	VoidShape         // it can't be part of any state
+	VoidStaleBase          // its base was no longer the current version
+	VoidInvalid         // it can't be part of any state
 	Malformed         // its bytes are no record
-	Unjudged          // met while detached: whether it was accepted can't be told
+	Undetermined          // met while detached: whether it was accepted can't be told
 )
 
 var outcomeNames = []string{"ignored", "accepted", "void (based on an older version)", "void (malformed change)", "malformed", "not judged (before the first snapshot kept)"}
@@ -27,18 +27,18 @@
 // String names the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Verdict is the outcome of one change or restart.
-type Verdict struct {
+// Result is the outcome of one change or restart.
+type Result struct {
 	Offset  uint64
 	Outcome Outcome
 	Change  *Change  // nil for a restart
 	Restart *Restart // nil for a change
-	Winner  *State   // the state in force after the record
-	Why     error    // for VoidShape and Malformed
+	State  *State   // the state in force after the record
+	Err     error    // for VoidShape and Malformed
 }
 
 // ID returns the id of the change or restart, or "".
-func (v *Verdict) ID() string {
+func (v *Result) ID() string {
 	switch {
 	case v.Change != nil:
 		return v.Change.ID
@@ -77,32 +77,32 @@
 // State returns the current state; it must not be changed.
 func (f *Fold) State() *State { return f.state }
 
-// Attached reports whether the state is certainly current as of its position.
-func (f *Fold) Attached() bool { return f.attached }
+// Contiguous reports whether the state is certainly current as of its position.
+func (f *Fold) Contiguous() bool { return f.attached }
 
-// Snapshots returns how many snapshot records were met, to tell when one is due.
-func (f *Fold) Snapshots() uint64 { return f.snapshots }
+// SnapshotCount returns how many snapshot records were met, to tell when one is due.
+func (f *Fold) SnapshotCount() uint64 { return f.snapshots }
 
-// Next returns the offset to read from.
-func (f *Fold) Next() uint64 {
+// NextOffset returns the offset to read from.
+func (f *Fold) NextOffset() uint64 {
 	if f.attached {
 		return f.state.AsOf
 	}
 	return f.scanNext
 }
 
-// Lost tells the fold that the log has dropped everything below lowest.
-func (f *Fold) Lost(lowest uint64) {
-	if lowest <= f.Next() {
+// HandleTruncation tells the fold that the log has dropped everything below lowest.
+func (f *Fold) HandleTruncation(lowest uint64) {
+	if lowest <= f.NextOffset() {
 		return
 	}
 	f.attached = false
 	f.scanFrom, f.scanNext, f.scanWrite, f.lowest = lowest, lowest, 0, lowest
 }
 
-// Adopt takes over a state that another process folded, if it is farther on. It
+// AdvanceTo takes over a state that another process folded, if it is farther on. It
 // reports whether it did.
-func (f *Fold) Adopt(s *State) bool {
+func (f *Fold) AdvanceTo(s *State) bool {
 	if s.AsOf <= f.state.AsOf || s.Version < f.state.Version {
 		return false
 	}
@@ -114,18 +114,18 @@
 	return true
 }
 
-// Take folds the records of one read that began at from. Records that were folded
+// Apply folds the records of one read that began at from. Records that were folded
 // before are passed over, so a read that is answered twice or late does no harm;
 // one that leaves a gap is refused with ErrGap. After a snapshot that attaches the
 // fold the position is the snapshot's, and what follows is read again. At a record of an unknown format
 // it stops with a *FormatError and keeps its place.
-func (f *Fold) Take(from uint64, records []platformlog.Record, next uint64) ([]Verdict, error) {
-	if from > f.Next() {
+func (f *Fold) Apply(from uint64, records []platformlog.Record, next uint64) ([]Result, error) {
+	if from > f.NextOffset() {
 		return nil, ErrGap
 	}
-	var out []Verdict
+	var out []Result
 	for _, r := range records {
-		if r.Offset < f.Next() {
+		if r.Offset < f.NextOffset() {
 			continue
 		}
 		v, err := f.step(r)
@@ -135,7 +135,7 @@
 		if v.Outcome != Ignored {
 			out = append(out, v)
 		}
-		if f.Next() <= r.Offset {
+		if f.NextOffset() <= r.Offset {
 			return out, nil // a snapshot took the position back: read again from there
 		}
 	}
@@ -145,7 +145,7 @@
 
 // moveTo notes that every record below next has been seen.
 func (f *Fold) moveTo(next uint64) {
-	if next <= f.Next() {
+	if next <= f.NextOffset() {
 		return
 	}
 	if !f.attached {
@@ -157,16 +157,16 @@
 	f.state = &moved
 }
 
-func (f *Fold) step(r platformlog.Record) (Verdict, error) {
+func (f *Fold) step(r platformlog.Record) (Result, error) {
 	rec, err := DecodeRecord(r.Data)
 	var format *FormatError
 	if errors.As(err, &format) {
-		return Verdict{}, err
+		return Result{}, err
 	}
-	v := Verdict{Offset: r.Offset}
+	v := Result{Offset: r.Offset}
 	switch {
 	case err != nil:
-		v.Outcome, v.Why = Malformed, err
+		v.Outcome, v.Err = Malformed, err
 	case rec.Change != nil:
 		v.Change = rec.Change
 		f.change(&v)
@@ -180,7 +180,7 @@
 		}
 	}
 	f.moveTo(r.Offset + 1)
-	v.Winner = f.state
+	v.State = f.state
 	return v, nil
 }
 
@@ -195,19 +195,19 @@
 	f.state = &written
 }
 
-func (f *Fold) change(v *Verdict) {
+func (f *Fold) change(v *Result) {
 	f.wrote(v.Offset)
 	if !f.attached {
-		v.Outcome = Unjudged
+		v.Outcome = Undetermined
 		return
 	}
 	if v.Change.Base != f.state.Version {
-		v.Outcome = VoidBase
+		v.Outcome = VoidStaleBase
 		return
 	}
 	next, err := f.state.Apply(v.Change)
 	if err != nil {
-		v.Outcome, v.Why = VoidShape, err
+		v.Outcome, v.Err = VoidInvalid, err
 		return
 	}
 	next.Version = v.Offset + 1
@@ -231,7 +231,7 @@
 // restart takes the state of a restart. It is void where a change or another
 // restart was written after its author had read the log, so one that is appended
 // twice, or lands late, overrides nothing.
-func (f *Fold) restart(v *Verdict) {
+func (f *Fold) restart(v *Result) {
 	r := v.Restart
 	lastWrite := f.scanWrite
 	if f.attached {
@@ -239,11 +239,11 @@
 	}
 	f.wrote(v.Offset)
 	if !f.attached && r.End < f.scanFrom {
-		v.Outcome = Unjudged
+		v.Outcome = Undetermined
 		return
 	}
 	if lastWrite > r.End {
-		v.Outcome = VoidBase
+		v.Outcome = VoidStaleBase
 		return
 	}
 	next := *r.State
--- a/internal/config/fold_test.go
+++ b/internal/config/fold_test.go
@@ -72,7 +72,7 @@
 		late := config.NewFold(&config.State{})
 		_, err := config.ReadToEnd(ctx, log, late)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(late.Attached()).To(BeFalse())
+		Expect(late.Contiguous()).To(BeFalse())
 		Expect(late.State().Version).To(BeZero())
 
 		appendRecord(log, &config.Record{Snapshot: func() *config.State {
@@ -83,7 +83,7 @@
 		}()})
 		_, err = config.ReadToEnd(ctx, log, late)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(late.Attached()).To(BeTrue())
+		Expect(late.Contiguous()).To(BeTrue())
 		Expect(late.State().Version).To(Equal(second.Version))
 	})
 
@@ -133,7 +133,7 @@
 		_, err := config.ReadToEnd(ctx, log, f)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.State().Version).To(BeEquivalentTo(1))
-		Expect(f.State().Resolve(config.Where{}).CautionPercent).To(BeEquivalentTo(1000))
+		Expect(f.State().Resolve(config.Location{}).OvertakeFactorPercent).To(BeEquivalentTo(1000))
 		value, known := f.State().Value("future.key")
 		Expect(known).To(BeTrue())
 		Expect(value).To(BeEquivalentTo(7))
@@ -189,8 +189,8 @@
 				{Kind: config.ScopeEntry, Name: "e1", Key: "admission.max_jobs", Value: 50, Author: "ops", Reason: "large host"}}})
 		f, _, err := ops.Load(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		t1 := f.State().Resolve(config.Where{DataCentre: "dc2", Target: "t1", Entry: "e1"})
-		t2 := f.State().Resolve(config.Where{DataCentre: "dc2", Target: "t2"})
+		t1 := f.State().Resolve(config.Location{DataCentre: "dc2", Target: "t1", Entry: "e1"})
+		t2 := f.State().Resolve(config.Location{DataCentre: "dc2", Target: "t2"})
 		Expect([]bool{t1.Drain, t2.Drain}).To(Equal([]bool{false, true}))
 		Expect([]int64{t1.MaxJobs, t2.MaxJobs}).To(Equal([]int64{50, 40}))
 		Expect([]int64{t1.Quota("b"), t1.Quota("c")}).To(Equal([]int64{8, 5}))
--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -22,12 +22,12 @@
 // its agents within config.FanOutSpread and two heartbeats more: below 6 s of the
 // letter's 13 s, which leaves a whole poll to be lost.
 const (
-	DefaultPollEvery = 1500 * time.Millisecond
+	DefaultPollInterval = 1500 * time.Millisecond
 	// MaxBackoff bounds the pause between polls in an outage. Entries come back to
 	// a log that just recovered within it, each at a time of its own.
 	MaxBackoff = 5 * time.Second
-	// DefaultSnapshotEvery must be at most half of the log's retention.
-	DefaultSnapshotEvery = 6 * time.Hour
+	// DefaultSnapshotInterval must be at most half of the log's retention.
+	DefaultSnapshotInterval = 6 * time.Hour
 	// DefaultStaleAfter is when a process says that it may be out of date.
 	DefaultStaleAfter = 30 * time.Second
 	// recoveryJitter spreads the snapshots after a long outage, so that most
@@ -38,12 +38,12 @@
 // Options of a follower; zero durations take the defaults.
 type Options struct {
 	Log           platformlog.Log
-	Holder        *config.Holder
+	Replica        *config.Replica
 	Clock         clock.Clock
 	Logger        logr.Logger
 	Rand          *rand.Rand
-	PollEvery     time.Duration
-	SnapshotEvery time.Duration
+	PollInterval     time.Duration
+	SnapshotInterval time.Duration
 	StaleAfter    time.Duration
 }
 
@@ -63,19 +63,19 @@
 
 // New returns a follower that goes on from what the holder has.
 func New(o Options) *Follower {
-	setDefault(&o.PollEvery, DefaultPollEvery)
-	setDefault(&o.SnapshotEvery, DefaultSnapshotEvery)
+	setDefault(&o.PollInterval, DefaultPollInterval)
+	setDefault(&o.SnapshotInterval, DefaultSnapshotInterval)
 	setDefault(&o.StaleAfter, DefaultStaleAfter)
-	f := &Follower{o: o, wake: make(chan struct{}, 1), polled: make(chan bool, 1), fold: config.NewFold(o.Holder.Get().State)}
+	f := &Follower{o: o, wake: make(chan struct{}, 1), polled: make(chan bool, 1), fold: config.NewFold(o.Replica.Get().State)}
 	f.backoff = backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(o.PollEvery),
+		backoff.WithInitialInterval(o.PollInterval),
 		backoff.WithMaxInterval(MaxBackoff),
 		backoff.WithMaxElapsedTime(0),
 	)
 	// How old the newest snapshot is can't be told from another host's clock. A
 	// start counts as half-way, at random, so some entry of a fleet that is
 	// restarted often still gets to write one.
-	f.snapshotAt = o.Clock.Now().Add(f.jitter(o.SnapshotEvery / 2))
+	f.snapshotAt = o.Clock.Now().Add(f.jitter(o.SnapshotInterval / 2))
 	return f
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-func (f *Follower) soon() time.Duration { return f.jitter(min(recoveryJitter, f.o.SnapshotEvery/4)) }
+func (f *Follower) soon() time.Duration { return f.jitter(min(recoveryJitter, f.o.SnapshotInterval/4)) }
 
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	return time.Duration(f.o.Rand.Int64N(int64(d)))
@@ -118,9 +118,9 @@
 // Poll does one bounded read, and the snapshot if one is due. It returns how long
 // to wait before the next.
 func (f *Follower) Poll(ctx context.Context) time.Duration {
-	f.fold.Adopt(f.o.Holder.Get().State) // a peer may have been faster, or this process is new
+	f.fold.AdvanceTo(f.o.Replica.Get().State) // a peer may have been faster, or this process is new
 	more, err := f.read(ctx)
-	f.o.Holder.SayStale(f.o.StaleAfter)
+	f.o.Replica.LogIfStale(f.o.StaleAfter)
 	if err != nil {
 		f.tellPolled(false)
 		return f.failed(err)
@@ -129,17 +129,17 @@
 	if more {
 		return 0
 	}
-	f.tellPolled(f.fold.Attached())
-	if f.fold.Attached() {
-		f.o.Holder.Confirm()
+	f.tellPolled(f.fold.Contiguous())
+	if f.fold.Contiguous() {
+		f.o.Replica.MarkCurrent()
 		f.snapshot(ctx)
 	}
-	return f.o.PollEvery*3/4 + f.jitter(f.o.PollEvery/2)
+	return f.o.PollInterval*3/4 + f.jitter(f.o.PollInterval/2)
 }
 
-// Polled brings how polls ended: whether the log was read to its end and says what is in
+// PollResults brings how polls ended: whether the log was read to its end and says what is in
 // force. Only the first that nobody has taken is kept.
-func (f *Follower) Polled() <-chan bool { return f.polled }
+func (f *Follower) PollResults() <-chan bool { return f.polled }
 
 func (f *Follower) tellPolled(current bool) {
 	select {
@@ -148,34 +148,34 @@
 	}
 }
 
-// Attached reports whether the follower has seen every record up to its position.
-func (f *Follower) Attached() bool { return f.fold.Attached() }
+// Contiguous reports whether the follower has seen every record up to its position.
+func (f *Follower) Contiguous() bool { return f.fold.Contiguous() }
 
 func (f *Follower) read(ctx context.Context) (more bool, err error) {
 	b, err := config.Read(ctx, f.o.Log, f.fold)
 	if b.Truncated {
 		f.missed = true
 	}
-	if f.fold.Attached() {
-		f.o.Holder.Extend(f.fold.State(), b)
+	if f.fold.Contiguous() {
+		f.o.Replica.ApplyRead(f.fold.State(), b)
 	}
-	for i := range b.Verdicts {
-		f.sayVoid(&b.Verdicts[i])
+	for i := range b.Results {
+		f.sayVoid(&b.Results[i])
 	}
 	return b.More, err
 }
 
 // sayVoid logs a change that lost, while it is news.
-func (f *Follower) sayVoid(v *config.Verdict) {
-	if f.caughtUp && v.Outcome == config.VoidBase {
-		event.Log(f.o.Logger, event.ConfigConflict, "change", v.ID(), "offset", v.Offset, "version", v.Winner.Version)
+func (f *Follower) sayVoid(v *config.Result) {
+	if f.caughtUp && v.Outcome == config.VoidStaleBase {
+		event.Log(f.o.Logger, event.ConfigConflict, "change", v.ID(), "offset", v.Offset, "version", v.State.Version)
 	}
 }
 
 func (f *Follower) failed(err error) time.Duration {
 	if f.downSince.IsZero() {
 		f.downSince = f.o.Clock.Now()
-		event.Log(f.o.Logger, event.LogUnreachable, "cause", err.Error(), "version", f.o.Holder.Get().State.Version)
+		event.Log(f.o.Logger, event.LogUnreachable, "cause", err.Error(), "version", f.o.Replica.Get().State.Version)
 	}
 	return f.backoff.NextBackOff()
 }
@@ -191,7 +191,7 @@
 	now := f.o.Clock.Now()
 	outage := now.Sub(f.downSince)
 	f.downSince = time.Time{}
-	if outage >= f.o.SnapshotEvery/2 {
+	if outage >= f.o.SnapshotInterval/2 {
 		f.snapshotSoon(now)
 	}
 }
@@ -223,12 +223,12 @@
 // Were the log to go down now and drop it unread, nobody could know that nothing
 // else was there, and the whole fleet would be detached over a record of its own.
 func (f *Follower) passOver(offset uint64, data []byte) {
-	if offset != f.fold.Next() {
+	if offset != f.fold.NextOffset() {
 		return
 	}
 	b := config.Batch{From: offset, Records: []platformlog.Record{{Offset: offset, Data: data}}}
-	if _, err := f.fold.Take(b.From, b.Records, offset+1); err == nil {
-		f.o.Holder.Extend(f.fold.State(), b)
+	if _, err := f.fold.Apply(b.From, b.Records, offset+1); err == nil {
+		f.o.Replica.ApplyRead(f.fold.State(), b)
 	}
 }
 
@@ -237,14 +237,14 @@
 // old, and says nothing. Records that were dropped with no snapshot after them
 // bring it forward.
 func (f *Follower) noteSnapshots(now time.Time) {
-	seen := f.fold.Snapshots()
+	seen := f.fold.SnapshotCount()
 	fresh := seen != f.snapshots && f.caughtUp
 	if seen != f.snapshots {
 		f.missed = false
 	}
 	f.snapshots, f.caughtUp = seen, true
 	if fresh {
-		f.snapshotAt = now.Add(f.o.SnapshotEvery/2 + f.jitter(f.o.SnapshotEvery/2))
+		f.snapshotAt = now.Add(f.o.SnapshotInterval/2 + f.jitter(f.o.SnapshotInterval/2))
 	}
 	if f.missed {
 		f.missed = false
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -28,11 +28,11 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		fold := config.NewFold(&config.State{})
-		_, _ = fold.Take(0, []platformlog.Record{{Offset: 0, Data: data}}, 1)
+		_, _ = fold.Apply(0, []platformlog.Record{{Offset: 0, Data: data}}, 1)
 		survives(t, fold.State())
 		lost := config.NewFold(&config.State{})
-		lost.Lost(2)
-		_, _ = lost.Take(2, []platformlog.Record{{Offset: 2, Data: data}}, 3)
+		lost.HandleTruncation(2)
+		_, _ = lost.Apply(2, []platformlog.Record{{Offset: 2, Data: data}}, 3)
 		survives(t, lost.State())
 		if s, err := config.DecodeState(data); err == nil {
 			survives(t, s)
@@ -50,5 +50,5 @@
 	if _, err := config.DecodeState(b); err != nil {
 		t.Fatalf("can't be read back: %v", err)
 	}
-	s.Resolve(config.Where{DataCentre: "a", Target: "b"})
+	s.Resolve(config.Location{DataCentre: "a", Target: "b"})
 }
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -25,12 +25,12 @@
 	Source   string // where it was heard
 }
 
-// Holder is the configuration in force on one process. It takes rising versions
+// Replica is the configuration in force on one process. It takes rising versions
 // only: a late or repeated message, a peer that is behind or a restarted reader
 // would otherwise bring back a limit that an operator has already lifted. It is
 // safe for concurrent use.
-type Holder struct {
-	where Where
+type Replica struct {
+	where Location
 	clock clock.Clock
 	log   logr.Logger
 
@@ -42,36 +42,36 @@
 	watchers  []func(*Applied)
 }
 
-// NewHolder returns a holder of the built-in defaults, for the process at where.
-func NewHolder(where Where, c clock.Clock, log logr.Logger) *Holder {
-	h := &Holder{where: where, clock: c, log: log, confirmed: c.Now()}
+// NewReplica returns a holder of the built-in defaults, for the process at where.
+func NewReplica(where Location, c clock.Clock, log logr.Logger) *Replica {
+	h := &Replica{where: where, clock: c, log: log, confirmed: c.Now()}
 	h.applied = &Applied{State: &State{}, Settings: (&State{}).Resolve(where), At: c.Now(), Source: SourceBuiltIn}
 	return h
 }
 
 // Get returns what is in force; it must not be changed.
-func (h *Holder) Get() *Applied {
+func (h *Replica) Get() *Applied {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.applied
 }
 
 // Resolve returns the settings in force at another place, such as a target.
-func (h *Holder) Resolve(w Where) Settings { return h.Get().State.Resolve(w) }
+func (h *Replica) Resolve(w Location) Settings { return h.Get().State.Resolve(w) }
 
 // Watch calls f with what is in force now and after each change. The calls come in
 // order of version, on the goroutine that brought the change, and f must not
 // block or call the holder.
-func (h *Holder) Watch(f func(*Applied)) {
+func (h *Replica) Watch(f func(*Applied)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.watchers = append(h.watchers, f)
 	f(h.applied)
 }
 
-// Offer puts a state in force where its version is higher than the one in force,
+// ApplyState puts a state in force where its version is higher than the one in force,
 // and reports whether it did. The same version at a later position is only noted.
-func (h *Holder) Offer(s *State, source string) bool {
+func (h *Replica) ApplyState(s *State, source string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	current := h.applied.State
@@ -93,25 +93,25 @@
 	return true
 }
 
-// Confirm notes that what is in force was just found to be current: by an entry in
+// MarkCurrent notes that what is in force was just found to be current: by an entry in
 // the log, by an agent at an entry.
-func (h *Holder) Confirm() {
+func (h *Replica) MarkCurrent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.confirmed = h.clock.Now()
 }
 
 // Age is how long ago this process last found its configuration to be current.
-func (h *Holder) Age() time.Duration {
+func (h *Replica) Age() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.clock.Now().Sub(h.confirmed)
 }
 
-// SayStale logs once when this process has not found its configuration to be
+// LogIfStale logs once when this process has not found its configuration to be
 // current for so long, and again only after it had. Without it, one process that
 // lost touch would quietly go on with old limits.
-func (h *Holder) SayStale(after time.Duration) {
+func (h *Replica) LogIfStale(after time.Duration) {
 	age := h.Age()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -126,20 +126,20 @@
 	event.Log(h.log, event.ConfigStale, "age_ms", age.Milliseconds(), "version", h.applied.State.Version)
 }
 
-// Mark is what a process tells its peers on frames that are sent anyway: the
+// Position is what a process tells its peers on frames that are sent anyway: the
 // position of its state, which rises with the version.
-func (h *Holder) Mark() uint64 { return h.Get().State.AsOf }
+func (h *Replica) Position() uint64 { return h.Get().State.AsOf }
 
-// Update returns, encoded, what a peer at mark lacks.
-func (h *Holder) Update(mark uint64) ([]byte, error) {
+// EncodeUpdate returns, encoded, what a peer at mark lacks.
+func (h *Replica) EncodeUpdate(mark uint64) ([]byte, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return encodeUpdate(h.applied.State, &h.tail, mark)
 }
 
-// OfferUpdate applies an update from a peer. The error is a *CodecError or a
+// ApplyUpdate applies an update from a peer. The error is a *CodecError or a
 // *FormatError, and then nothing was applied.
-func (h *Holder) OfferUpdate(b []byte) error {
+func (h *Replica) ApplyUpdate(b []byte) error {
 	u, err := DecodeUpdate(b)
 	if err != nil {
 		return err
@@ -153,15 +153,15 @@
 		h.tail.extend(u.From, u.records(), u.Next)
 		h.mu.Unlock()
 	}
-	h.Offer(s, SourcePeer)
+	h.ApplyState(s, SourcePeer)
 	return nil
 }
 
-// Extend offers a state that was read from the log, with the records of the read,
+// ApplyRead offers a state that was read from the log, with the records of the read,
 // which are kept for peers that lack only those.
-func (h *Holder) Extend(s *State, b Batch) bool {
+func (h *Replica) ApplyRead(s *State, b Batch) bool {
 	h.mu.Lock()
 	h.tail.extend(b.From, b.Records, s.AsOf)
 	h.mu.Unlock()
-	return h.Offer(s, SourceLog)
+	return h.ApplyState(s, SourceLog)
 }
--- a/internal/config/linearize_test.go
+++ b/internal/config/linearize_test.go
@@ -139,7 +139,7 @@
 	made := map[int64]uint64{}
 	for _, v := range verdicts {
 		if v.Outcome == config.Accepted {
-			made[v.Change.Set[0].Value] = v.Winner.Version
+			made[v.Change.Set[0].Value] = v.State.Version
 		}
 	}
 	for i := range events {
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// FanOutSpread is over how long an entry spreads the updates to its agents. An
+// MaxFanOutDelay is over how long an entry spreads the updates to its agents. An
 // agent is connected to several entries that all hear of a change at about the
 // same time; waiting a while, each at random, lets most of them see that another
 // was first. It also spreads the bytes. The letter allows 13 s in all.
-const FanOutSpread = 6 * time.Second
+const MaxFanOutDelay = 6 * time.Second
 
 // behindGrace is how long agents leave an entry that has some configuration to
 // read the log by itself. Without it, the agents that hear of a change from a
@@ -25,7 +25,7 @@
 // on frames that are sent anyway. It belongs to the goroutine of the control
 // state. A new connection gets a new Link.
 type Link struct {
-	holder *Holder
+	holder *Replica
 	rng    *rand.Rand
 	spread time.Duration
 	agent  bool
@@ -37,38 +37,38 @@
 }
 
 // NewEntryLink returns an entry's end of a new connection to an agent.
-func NewEntryLink(h *Holder, rng *rand.Rand) *Link {
-	return &Link{holder: h, rng: rng, spread: FanOutSpread}
+func NewEntryLink(h *Replica, rng *rand.Rand) *Link {
+	return &Link{holder: h, rng: rng, spread: MaxFanOutDelay}
 }
 
 // NewAgentLink returns an agent's end of a new connection to an entry. An agent
 // counts itself current while an entry that read the log lately holds the same. An
 // entry hears that from the log alone: else all of them would vouch for each other
 // through an outage, and none would say how old its configuration is.
-func NewAgentLink(h *Holder, rng *rand.Rand) *Link {
+func NewAgentLink(h *Replica, rng *rand.Rand) *Link {
 	return &Link{holder: h, rng: rng, spread: agentSpread, agent: true}
 }
 
 // vouches reports whether this end may say that its configuration is current.
 func (l *Link) vouches() bool { return !l.agent && l.holder.Age() < vouchWithin }
 
-// Heard takes the mark and the update, if any, of a frame that arrived. The error
+// Receive takes the mark and the update, if any, of a frame that arrived. The error
 // is a *CodecError or a *FormatError: the update was not used.
-func (l *Link) Heard(mark uint64, update []byte) error {
+func (l *Link) Receive(mark uint64, update []byte) error {
 	l.peer, l.known = mark, true
 	var err error
 	if len(update) > 0 {
-		err = l.holder.OfferUpdate(update)
+		err = l.holder.ApplyUpdate(update)
 	}
-	if l.agent && mark == l.holder.Mark() {
-		l.holder.Confirm()
+	if l.agent && mark == l.holder.Position() {
+		l.holder.MarkCurrent()
 	}
 	return err
 }
 
-// Next returns the mark and the update, if one is due, for a frame about to be sent.
-func (l *Link) Next(now time.Time) (mark uint64, update []byte) {
-	mark = l.holder.Mark()
+// PrepareFrame returns the mark and the update, if one is due, for a frame about to be sent.
+func (l *Link) PrepareFrame(now time.Time) (mark uint64, update []byte) {
+	mark = l.holder.Position()
 	if !l.known || l.peer >= mark || l.told >= mark {
 		l.behind = false
 		return mark, nil
@@ -80,7 +80,7 @@
 	if now.Before(l.due) {
 		return mark, nil
 	}
-	b, err := l.holder.Update(l.peer)
+	b, err := l.holder.EncodeUpdate(l.peer)
 	if err != nil {
 		return mark, nil // a state that can't be encoded is one the peer can't have either
 	}
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -17,9 +17,9 @@
 // the log: short against a person's patience, long against a write of some ms.
 const readBackEvery = 50 * time.Millisecond
 
-// DefaultWait is how long Publish looks for a change in the log before it says
+// DefaultReadBackTimeout is how long Publish looks for a change in the log before it says
 // that the outcome is undecided.
-const DefaultWait = 5 * time.Second
+const DefaultReadBackTimeout = 5 * time.Second
 
 // ConflictError says which change won. It unwraps to a *fault.Fault of code
 // ConfigConflict.
@@ -50,7 +50,7 @@
 // NewPublisher returns a publisher; a wait of 0 means DefaultWait.
 func NewPublisher(log platformlog.Log, wait time.Duration) *Publisher {
 	if wait == 0 {
-		wait = DefaultWait
+		wait = DefaultReadBackTimeout
 	}
 	return &Publisher{log, wait}
 }
@@ -66,13 +66,13 @@
 // Load reads the log to its end and returns the fold there, with a verdict for
 // each change that is still kept. The error is a *fault.Fault: ConfigNotTaken
 // where the log does not answer, or where it no longer says what is in force.
-func (p *Publisher) Load(ctx context.Context) (*Fold, []Verdict, error) {
+func (p *Publisher) Load(ctx context.Context) (*Fold, []Result, error) {
 	f := NewFold(&State{})
 	verdicts, err := ReadToEnd(ctx, p.log, f)
 	if err != nil {
 		return nil, nil, notTaken(err)
 	}
-	if !f.Attached() {
+	if !f.Contiguous() {
 		return f, verdicts, fault.New(fault.ConfigNotTaken,
 			"the log no longer holds a snapshot to start from; wait for an entry to write one, or see the operators' page on restarting the configuration")
 	}
@@ -129,7 +129,7 @@
 	last := "it has not appeared in the log"
 	for {
 		b, err := Read(ctx, p.log, f)
-		if state, err, found := find(b.Verdicts, id, base); found {
+		if state, err, found := find(b.Results, id, base); found {
 			return state, err
 		}
 		if err != nil {
@@ -157,7 +157,7 @@
 	}
 }
 
-func find(verdicts []Verdict, id string, base uint64) (*State, error, bool) {
+func find(verdicts []Result, id string, base uint64) (*State, error, bool) {
 	for i := range verdicts {
 		v := &verdicts[i]
 		if v.ID() != id {
@@ -165,13 +165,13 @@
 		}
 		switch v.Outcome {
 		case Accepted:
-			return v.Winner, nil, true
-		case VoidShape:
-			return nil, fault.New(fault.ConfigInvalid, v.Why.Error()), true
-		case Unjudged:
+			return v.State, nil, true
+		case VoidInvalid:
+			return nil, fault.New(fault.ConfigInvalid, v.Err.Error()), true
+		case Undetermined:
 			continue
 		}
-		return nil, conflict(base, v.Winner), true
+		return nil, conflict(base, v.State), true
 	}
 	return nil, nil, false
 }
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -12,7 +12,7 @@
 type Batch struct {
 	From      uint64
 	Records   []platformlog.Record
-	Verdicts  []Verdict
+	Results  []Result
 	More      bool // the end of the log was not reached
 	Truncated bool // records that the fold had not seen were dropped
 }
@@ -20,26 +20,26 @@
 // Read does one bounded read of the log and folds it. The error is one of the
 // log's, or a *FormatError.
 func Read(ctx context.Context, log platformlog.Log, f *Fold) (Batch, error) {
-	from := f.Next()
+	from := f.NextOffset()
 	records, next, err := log.Read(ctx, Stream, from, 0)
 	var truncated *platformlog.TruncatedError
 	if errors.As(err, &truncated) && truncated.Lowest > from {
-		f.Lost(truncated.Lowest)
+		f.HandleTruncation(truncated.Lowest)
 		return Batch{From: from, More: true, Truncated: true}, nil
 	}
 	if err != nil {
 		return Batch{From: from}, err
 	}
-	verdicts, err := f.Take(from, records, next)
-	return Batch{From: from, Records: records, Verdicts: verdicts, More: len(records) > 0}, err
+	verdicts, err := f.Apply(from, records, next)
+	return Batch{From: from, Records: records, Results: verdicts, More: len(records) > 0}, err
 }
 
 // ReadToEnd folds the log up to its end and returns every verdict.
-func ReadToEnd(ctx context.Context, log platformlog.Log, f *Fold) ([]Verdict, error) {
-	var all []Verdict
+func ReadToEnd(ctx context.Context, log platformlog.Log, f *Fold) ([]Result, error) {
+	var all []Result
 	for {
 		b, err := Read(ctx, log, f)
-		all = append(all, b.Verdicts...)
+		all = append(all, b.Results...)
 		if err != nil || !b.More {
 			return all, err
 		}
--- a/internal/config/report.go
+++ b/internal/config/report.go
@@ -1,7 +1,7 @@
 package config
 
-// Path is where daemons tell operators what is in force.
-const Path = "/v1/config"
+// ReportPath is where daemons tell operators what is in force.
+const ReportPath = "/v1/config"
 
 // Report is the answer of GET /v1/config.
 type Report struct {
@@ -12,7 +12,7 @@
 }
 
 // Report tells what is in force and how old it is.
-func (h *Holder) Report() Report {
+func (h *Replica) Report() Report {
 	a := h.Get()
 	return Report{a.State.Version, h.Age().Milliseconds(), a.Source, a.State}
 }
--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -43,10 +43,10 @@
 // resolveUnjudged decides about a change that lies before the first snapshot that
 // is kept. Every record since the base version is there, and the first change on
 // that version is the one that was accepted.
-func resolveUnjudged(verdicts []Verdict, id string, base uint64, current *State) (*Resolution, error) {
+func resolveUnjudged(verdicts []Result, id string, base uint64, current *State) (*Resolution, error) {
 	for i := range verdicts {
 		v := &verdicts[i]
-		if v.Outcome != Unjudged || v.Offset < base {
+		if v.Outcome != Undetermined || v.Offset < base {
 			continue
 		}
 		if v.Restart != nil {
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -15,13 +15,13 @@
 	if _, err := ReadToEnd(ctx, p.log, f); err != nil {
 		return nil, notTaken(err)
 	}
-	if f.Attached() {
+	if f.Contiguous() {
 		return nil, invalid("restart", "the log still says what is in force; make a change instead")
 	}
 	if author == "" || reason == "" || !validText(author) || !validText(reason) {
 		return nil, invalid("reason", "a restart needs an author and a written reason")
 	}
-	r := &Restart{ID: NewChangeID(), State: from, End: f.Next(), Author: author, Reason: reason, AtMs: time.Now().UnixMilli()}
+	r := &Restart{ID: NewChangeID(), State: from, End: f.NextOffset(), Author: author, Reason: reason, AtMs: time.Now().UnixMilli()}
 	if err := r.check(); err != nil {
 		return nil, fault.New(fault.ConfigInvalid, err.Error())
 	}
--- a/internal/config/schedule_test.go
+++ b/internal/config/schedule_test.go
@@ -103,7 +103,7 @@
 }
 
 type process struct {
-	holder   *config.Holder
+	holder   *config.Replica
 	follower *follower.Follower // nil on an agent
 	seen     uint64             // highest version that was in force
 }
@@ -154,7 +154,7 @@
 }
 
 func (f *fleet) newProcess() *process {
-	return &process{holder: config.NewHolder(config.Where{}, f.clock, logr.Discard())}
+	return &process{holder: config.NewReplica(config.Location{}, f.clock, logr.Discard())}
 }
 
 func (f *fleet) rng() *rand.Rand {
@@ -164,8 +164,8 @@
 
 func (f *fleet) startEntry(i int) {
 	p := f.newProcess()
-	p.follower = follower.New(follower.Options{Log: f.log, Holder: p.holder, Clock: f.clock,
-		Logger: logr.Discard(), Rand: f.rng(), SnapshotEvery: time.Minute})
+	p.follower = follower.New(follower.Options{Log: f.log, Replica: p.holder, Clock: f.clock,
+		Logger: logr.Discard(), Rand: f.rng(), SnapshotInterval: time.Minute})
 	f.entries[i] = p
 	for key := range f.pairs {
 		if key[0] == i {
@@ -187,12 +187,12 @@
 func (f *fleet) talk(e, a int, pick func(n int) int) {
 	p := f.pair(e, a)
 	send := func(l *config.Link, queue *[]frame) {
-		mark, update := l.Next(f.clock.Now())
+		mark, update := l.PrepareFrame(f.clock.Now())
 		*queue = append(*queue, frame{mark, update})
 	}
 	hear := func(l *config.Link, queue []frame) {
 		fr := queue[pick(len(queue))]
-		Expect(l.Heard(fr.mark, fr.update)).To(Succeed())
+		Expect(l.Receive(fr.mark, fr.update)).To(Succeed())
 	}
 	send(p.atAgent, &p.toEntry)
 	hear(p.atEntry, p.toEntry)
@@ -366,7 +366,7 @@
 		Expect(codeOf(err)).To(Equal(fault.ConfigNotTaken))
 		newest := &config.State{}
 		for _, p := range f.entries {
-			Expect(p.follower.Attached()).To(BeFalse(), "nobody wrote a snapshot")
+			Expect(p.follower.Contiguous()).To(BeFalse(), "nobody wrote a snapshot")
 			if s := p.holder.Get().State; s.Version > newest.Version {
 				newest = s
 			}
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -135,7 +135,7 @@
 		return nil, nil
 	}
 	f := NewFold(current)
-	if _, err := f.Take(u.From, u.records(), u.Next); err != nil {
+	if _, err := f.Apply(u.From, u.records(), u.Next); err != nil {
 		return nil, err
 	}
 	return f.State(), nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -34,7 +34,7 @@
 }
 
 func checkValue(k Key, v int64, kind ScopeKind) error {
-	d, ok := Define(k)
+	d, ok := LookupDefinition(k)
 	if !ok {
 		return invalid(string(k), "no such setting")
 	}
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -86,7 +86,7 @@
 	if !s.opened {
 		return s.open(f)
 	}
-	if err := s.config.Heard(f.Version, f.Config); err != nil {
+	if err := s.config.Receive(f.Version, f.Config); err != nil {
 		return err
 	}
 	if f.IsHeartbeat() {
--- a/internal/entry/api.go
+++ b/internal/entry/api.go
@@ -63,8 +63,8 @@
 
 	g.GET("/v1/targets", a.targets)
 	g.GET("/v1/status", a.status)
-	g.GET(config.Path, a.needsConfiguration, a.configuration)
-	g.POST(config.Path+"/:version", a.refresh)
+	g.GET(config.ReportPath, a.needsConfiguration, a.configuration)
+	g.POST(config.ReportPath+"/:version", a.refresh)
 	g.POST("/v1/drain", a.startDrain)
 	g.GET("/healthz", a.needsConfiguration, a.health)
 	g.GET("/metrics", a.giveMetrics)
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -18,7 +18,7 @@
 // configuration keeps the entry's configuration: read from the platform's log,
 // heard from agents, told to agents, and handed to the control state.
 type configuration struct {
-	holder   *config.Holder
+	holder   *config.Replica
 	fanOut   *config.FanOut
 	follower *follower.Follower // nil without a log: then agents alone bring it
 	news     chan struct{}      // the log has brought a change
@@ -27,12 +27,12 @@
 
 func newConfiguration(e *Entry) *configuration {
 	self := e.api.owner
-	where := config.Where{DataCentre: e.o.DataCentre, Entry: self.Addr.String()}
-	c := &configuration{holder: config.NewHolder(where, e.clock, e.log), fanOut: config.NewFanOut(nil), news: make(chan struct{}, 1)}
+	where := config.Location{DataCentre: e.o.DataCentre, Entry: self.Addr.String()}
+	c := &configuration{holder: config.NewReplica(where, e.clock, e.log), fanOut: config.NewFanOut(nil), news: make(chan struct{}, 1)}
 	if e.o.Log != "" {
 		c.follower = follower.New(follower.Options{
-			Log: e.o.OpenLog(e.o.Log), Holder: c.holder, Clock: e.clock, Logger: e.log,
-			Rand: c.random(), SnapshotEvery: e.o.SnapshotEvery,
+			Log: e.o.OpenLog(e.o.Log), Replica: c.holder, Clock: e.clock, Logger: e.log,
+			Rand: c.random(), SnapshotInterval: e.o.SnapshotEvery,
 		})
 	}
 	return c
@@ -71,7 +71,7 @@
 	if c.follower == nil {
 		return nil
 	}
-	return c.follower.Polled()
+	return c.follower.PollResults()
 }
 
 func (c *configuration) end() {
@@ -104,17 +104,17 @@
 // behind reports whether an entry at the given mark has a newer configuration.
 func (c *configuration) behind(mark string) bool {
 	theirs, err := strconv.ParseUint(mark, 10, 64)
-	return err == nil && theirs > c.holder.Mark()
+	return err == nil && theirs > c.holder.Position()
 }
 
 // lacking returns, encoded, what an entry at the given mark lacks; nothing where it
 // is up to date or did not say, as entries of an older release.
 func (c *configuration) lacking(mark string) []byte {
 	theirs, err := strconv.ParseUint(mark, 10, 64)
-	if err != nil || theirs >= c.holder.Mark() {
+	if err != nil || theirs >= c.holder.Position() {
 		return nil
 	}
-	update, err := c.holder.Update(theirs)
+	update, err := c.holder.EncodeUpdate(theirs)
 	if err != nil {
 		return nil // a state that can't be encoded is one the peer can't have either
 	}
--- a/internal/entry/introduce.go
+++ b/internal/entry/introduce.go
@@ -94,7 +94,7 @@
 	var answer peerAnswer
 	err = json.NewDecoder(io.LimitReader(response.Body, maxPeerAnswer)).Decode(&answer)
 	if err == nil && len(answer.Config) > 0 {
-		err = e.api.config.holder.OfferUpdate(answer.Config)
+		err = e.api.config.holder.ApplyUpdate(answer.Config)
 	}
 	if err != nil {
 		event.Log(e.log, event.BadFrame, "peer", addr, "reason", "answer to an introduction", "error", err.Error())
@@ -113,7 +113,7 @@
 	}
 	// In the query, which entries of an older release pass over; they refuse bodies
 	// with fields that they don't know.
-	query := url.Values{queryConfig: {strconv.FormatUint(e.api.config.holder.Mark(), 10)}}
+	query := url.Values{queryConfig: {strconv.FormatUint(e.api.config.holder.Position(), 10)}}
 	target := "http://" + addr + pathPeer + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -59,7 +59,7 @@
 	s.StringVar(&o.Entries, "entries", "", "addresses of other entries, to tell agents about and to make itself known to, comma separated")
 	key := s.Secret("key", "secret of the fleet that signs tokens, at least 16 bytes")
 	s.StringVar(&o.Log, "log", "", "base URL of the platform's log, such as http://10.0.0.7:7000; without it, configuration comes from agents alone")
-	s.DurationVar(&o.SnapshotEvery, "snapshot-every", follower.DefaultSnapshotEvery, "longest time between snapshots of the configuration; at most half of the log's retention")
+	s.DurationVar(&o.SnapshotEvery, "snapshot-every", follower.DefaultSnapshotInterval, "longest time between snapshots of the configuration; at most half of the log's retention")
 	s.DurationVar(&o.MaxTimeout, "max-timeout", 10*time.Minute, "longest time from now to a submission's deadline")
 	s.IntVar(&o.MaxJobs, "max-jobs", owner.DefaultMaxJobs, "most submission ids held")
 	s.IntVar(&o.LogPlacements, "log-placements", 1, "log one placement of a task in so many; 0: none")
--- a/internal/owner/configure.go
+++ b/internal/owner/configure.go
@@ -32,13 +32,13 @@
 		maxTimeout: min(c.opts.MaxTimeout, millis(s.MaxDeadlineMs)),
 		admission: admission.Limits{
 			SoftQueue: millis(s.SoftQueueMs), HardQueue: millis(s.HardQueueMs),
-			OvertakeFactor: float64(s.CautionPercent) / 100,
+			OvertakeFactor: float64(s.OvertakeFactorPercent) / 100,
 		},
 		quotas: s,
 	}
 	c.health.SetLimits(health.Limits{
-		BrokenFailureRate:    float64(s.BrokenPercent) / 100,
-		InitialTrialInterval: millis(s.FirstTrialMs), MaxTrialInterval: millis(s.LastTrialMs),
+		BrokenFailureRate:    float64(s.BrokenFailurePercent) / 100,
+		InitialTrialInterval: millis(s.InitialTrialIntervalMs), MaxTrialInterval: millis(s.MaxTrialIntervalMs),
 	})
 	c.limiter.SetLimits(s.Quotas())
 	c.limiter.SetDefault(int(s.DefaultQuota))
@@ -53,7 +53,7 @@
 	if c.conf.state == nil {
 		return
 	}
-	s := c.conf.state.Resolve(config.Where{DataCentre: a.dataCentre, Rack: a.rack, Target: a.target.Name})
+	s := c.conf.state.Resolve(config.Location{DataCentre: a.dataCentre, Rack: a.rack, Target: a.target.Name})
 	a.drained = s.Drain
 }
 
--- a/internal/owner/configure_test.go
+++ b/internal/owner/configure_test.go
@@ -49,7 +49,7 @@
 		state, err := (&config.State{}).Apply(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Validate(&config.State{})).To(Succeed())
-		core.Configure(now, &config.Applied{State: state, Settings: state.Resolve(config.Where{DataCentre: "dc1", Entry: "e1"})})
+		core.Configure(now, &config.Applied{State: state, Settings: state.Resolve(config.Location{DataCentre: "dc1", Entry: "e1"})})
 	}
 	submit := func(unique string, in time.Duration, tasks int) error {
 		id, err := job.NewID(self.Token(key), now.Add(in), unique, key)
