--- a/apps/camphorctl/main.go
+++ b/apps/camphorctl/main.go
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	var runner *command.Runner
+	var runner *command.CLI
 	app := fx.New(fx.NopLogger, fx.Supply(platformlog.Opener(store.Open)), command.Module, fx.Populate(&runner))
 	if err := app.Err(); err != nil {
 		fmt.Fprintln(os.Stderr, "camphorctl:", err)
--- a/command/answer.go
+++ b/command/answer.go
@@ -46,5 +46,5 @@
 	if f != nil && exitOfFault(f) == ExitUsage {
 		return ExitUsage
 	}
-	return ExitNotTaken
+	return ExitNotAccepted
 }
--- a/command/command.go
+++ b/command/command.go
@@ -32,7 +32,7 @@
 	Getenv func(string) (string, bool)
 }
 
-// Module provides the Runner with every subcommand; it needs a platformlog.Opener.
+// Module provides the CLI with every subcommand. It needs a platformlog.Opener.
 var Module = fx.Module("command",
 	provide(newCancel),
 	fx.Provide(asCommand(newConfig)),
@@ -53,8 +53,8 @@
 	return fx.Annotate(constructor, fx.As(new(Command)), fx.ResultTags(`group:"commands"`))
 }
 
-// Runner dispatches to the subcommands by name.
-type Runner struct {
+// CLI dispatches to the subcommands by name.
+type CLI struct {
 	commands []Command
 }
 
@@ -63,14 +63,14 @@
 	Commands []Command `group:"commands"`
 }
 
-func newRunner(p runnerParams) *Runner {
+func newRunner(p runnerParams) *CLI {
 	slices.SortFunc(p.Commands, func(a, b Command) int { return strings.Compare(a.Name(), b.Name()) })
-	return &Runner{commands: p.Commands}
+	return &CLI{commands: p.Commands}
 }
 
 // Run runs the subcommand that args[0] names with the arguments after it, and
 // returns its Exit code.
-func (r *Runner) Run(ctx context.Context, env Env, args []string) int {
+func (r *CLI) Run(ctx context.Context, env Env, args []string) int {
 	if len(args) == 0 {
 		r.usage(env.Stderr)
 		return ExitUsage
@@ -90,11 +90,11 @@
 	return ExitUsage
 }
 
-func (r *Runner) usage(out io.Writer) {
+func (r *CLI) usage(out io.Writer) {
 	fmt.Fprint(out, "Usage: camphorctl COMMAND [FLAGS] [ARGUMENTS]\n\nCommands (camphorctl COMMAND -h lists the flags):\n")
 	for _, c := range r.commands {
 		fmt.Fprintf(out, "  %-8s %s\n", c.Name(), c.Synopsis())
 	}
 	fmt.Fprintf(out, "\nExit codes: %d done, %d failed, %d usage, %d conflict, %d undecided, %d nothing accepted.\n",
-		ExitDone, ExitFailed, ExitUsage, ExitConflict, ExitUndecided, ExitNotTaken)
+		ExitDone, ExitFailed, ExitUsage, ExitConflict, ExitUndecided, ExitNotAccepted)
 }
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -28,7 +28,7 @@
 
 // ctl runs camphorctl with its environment made up.
 type ctl struct {
-	runner         *Runner
+	runner         *CLI
 	stdin          string
 	stdout, stderr bytes.Buffer
 }
@@ -109,7 +109,7 @@
 		},
 		Entry("complete", 200, job.Answer{State: job.Complete}, ExitDone),
 		Entry("failed", 502, job.Answer{State: job.Failed, Failure: fault.New(fault.OutcomeUnknown, "")}, ExitFailed),
-		Entry("refused", 429, job.Answer{State: job.Refused, Failure: fault.Refused(fault.Overloaded, "", time.Second)}, ExitNotTaken),
+		Entry("refused", 429, job.Answer{State: job.Refused, Failure: fault.Refused(fault.Overloaded, "", time.Second)}, ExitNotAccepted),
 		Entry("wrong input", 400, job.Answer{State: job.Refused, Failure: fault.Input(fault.BadField, "team", "")}, ExitUsage),
 		Entry("pending", 202, job.Answer{State: job.Pending}, ExitUndecided),
 	)
--- a/command/config_test.go
+++ b/command/config_test.go
@@ -101,7 +101,7 @@
 		Expect(code).To(Equal(ExitUndecided), "not landed yet")
 		mode(standin.StoreBusy)
 		code, _, _ = run("set", "quota.default=8")
-		Expect(code).To(Equal(ExitNotTaken))
+		Expect(code).To(Equal(ExitNotAccepted))
 		mode(standin.StoreServes)
 		code, out, _ := run(strings.Fields(ask)...)
 		Expect(code).To(Equal(ExitDone))
--- a/command/exit.go
+++ b/command/exit.go
@@ -7,12 +7,12 @@
 
 // Exit codes of camphorctl. Scripts branch on them, so a code never changes its meaning.
 const (
-	ExitDone      = 0 // done; for a submission: the answer is complete
-	ExitFailed    = 1 // an accepted submission failed, or the request itself failed
-	ExitUsage     = 2 // wrong arguments, settings or input; nothing was sent or started
-	ExitConflict  = 3 // another operator's change won, or the id came with another body
-	ExitUndecided = 4 // the outcome can't be learned now; ask again with the same id
-	ExitNotTaken  = 5 // nothing was accepted: refused, and none of it ran or ever will
+	ExitDone        = 0 // done; for a submission: the answer is complete
+	ExitFailed      = 1 // an accepted submission failed, or the request itself failed
+	ExitUsage       = 2 // wrong arguments, settings or input; nothing was sent or started
+	ExitConflict    = 3 // another operator's change won, or the id came with another body
+	ExitUndecided   = 4 // the outcome can't be learned now; ask again with the same id
+	ExitNotAccepted = 5 // nothing was accepted: refused, and none of it ran or ever will
 )
 
 // ExitCode returns the exit code that goes with an error; nil is ExitDone.
@@ -30,12 +30,12 @@
 	case fault.ConfigConflict, fault.BodyMismatch:
 		return ExitConflict
 	case fault.ConfigNotTaken:
-		return ExitNotTaken
+		return ExitNotAccepted
 	case fault.BadSetting, fault.BadBody, fault.BodyTooLarge, fault.BadID, fault.BadTaskCount,
 		fault.BadField, fault.DeadlinePast, fault.DeadlineTooFar, fault.ConfigInvalid, fault.UnknownResource:
 		return ExitUsage
 	case fault.Overloaded, fault.QuotaExceeded, fault.NeverRunnable, fault.Draining, fault.TooManyJobs:
-		return ExitNotTaken
+		return ExitNotAccepted
 	}
 	return ExitFailed
 }
