--- a/apps/camphorrack-bench/main.go
+++ b/apps/camphorrack-bench/main.go
@@ -77,7 +77,7 @@
 // pickPolicies fills the policies that a list names; it returns what is wrong, or "".
 func pickPolicies(o *bench.Options, list string) string {
 	if list == "all" {
-		o.Policies = []owner.Policy{owner.PolicyRandom, owner.PolicyTwoChoices, owner.PolicyFirstCome, owner.PolicyLeastWork}
+		o.Policies = []owner.Policy{owner.PolicyRandom, owner.PolicyTwoChoices, owner.PolicyFCFS, owner.PolicyLeastWork}
 		return ""
 	}
 	for _, name := range strings.Split(list, ",") {
--- a/command/targets.go
+++ b/command/targets.go
@@ -47,7 +47,7 @@
 	fmt.Fprintln(table, "TARGET\tWORKER\tDATA CENTRE\tRACK\tSTATE\tSLOTS\tSPEED\tCREDITS\tATTEMPTS")
 	for _, t := range known {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%g\t%d\t%d\n", t.Target, t.Worker, orDash(t.DataCentre),
-			orDash(t.Rack), stateOf(t), t.Slots, t.Speed, t.Credits, t.Attempts)
+			orDash(t.Rack), stateOf(t), t.Slots, t.Speed, t.Credits, t.OpenAttempts)
 	}
 	table.Flush()
 }
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -11,7 +11,7 @@
 
 // await asks the control state for an answer and writes what comes of it.
 func (a *api) await(g *gin.Context, id job.ID, wait time.Duration,
-	ask func(time.Time, core, owner.Waiter) (func(), error),
+	ask func(time.Time, core, owner.AnswerFunc) (func(), error),
 ) {
 	answers := make(chan job.Answer, 1) // the waiter never blocks
 	var stop func()
@@ -33,7 +33,7 @@
 		_ = a.control.post(func(_ time.Time, c core) {
 			stop()
 			if len(answers) > 0 { // it came when the wait was just over
-				c.Withhold(id)
+				c.MarkUndelivered(id)
 			}
 		})
 		answer = job.Answer{ID: id.String(), State: job.Pending}
@@ -66,9 +66,9 @@
 func (a *api) lapsed(id job.ID) bool { return !a.clock.Now().Before(id.AnswerableUntil()) }
 
 // withheld asks the owner again after its complete answer came too late to be given.
-func withheld(id job.ID) func(time.Time, core, owner.Waiter) (func(), error) {
-	return func(now time.Time, c core, w owner.Waiter) (func(), error) {
-		c.Withhold(id)
+func withheld(id job.ID) func(time.Time, core, owner.AnswerFunc) (func(), error) {
+	return func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
+		c.MarkUndelivered(id)
 		return c.Await(now, id, w)
 	}
 }
@@ -79,7 +79,7 @@
 	switch {
 	case answer.State == job.Complete && left:
 		// Nobody reads it: where this one comes back past the grace, it wasn't given.
-		_ = a.control.post(func(_ time.Time, c core) { c.Withhold(id) }) // else it counts as given
+		_ = a.control.post(func(_ time.Time, c core) { c.MarkUndelivered(id) }) // else it counts as given
 	case answer.State == job.Complete && a.lapsed(id):
 		a.await(g, id, 0, withheld(id))
 		return
--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -26,12 +26,12 @@
 	withheld int
 }
 
-func (h *holder) Tick(time.Time)  {}
-func (h *holder) Flush()          {}
-func (h *holder) Idle() bool      { return true }
-func (h *holder) Withhold(job.ID) { h.withheld++ }
+func (h *holder) Tick(time.Time)         {}
+func (h *holder) Flush()                 {}
+func (h *holder) Idle() bool             { return true }
+func (h *holder) MarkUndelivered(job.ID) { h.withheld++ }
 
-func (h *holder) Await(_ time.Time, _ job.ID, w owner.Waiter) (func(), error) {
+func (h *holder) Await(_ time.Time, _ job.ID, w owner.AnswerFunc) (func(), error) {
 	w(h.answer)
 	return func() {}, nil
 }
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -34,15 +34,15 @@
 
 // core is the control state; *owner.Core implements it.
 type core interface {
-	Submit(now time.Time, s *job.Submission, w owner.Waiter) (stop func(), err error)
-	Await(now time.Time, id job.ID, w owner.Waiter) (stop func(), err error)
-	Withhold(id job.ID)
+	Submit(now time.Time, s *job.Submission, w owner.AnswerFunc) (stop func(), err error)
+	Await(now time.Time, id job.ID, w owner.AnswerFunc) (stop func(), err error)
+	MarkUndelivered(id job.ID)
 	Cancel(now time.Time, id job.ID) error
-	Knows(id job.ID) bool
+	HasID(id job.ID) bool
 	Connect(now time.Time, conn owner.ConnID, h *wire.Hello)
 	Receive(now time.Time, conn owner.ConnID, f *wire.ToEntry) error
 	Disconnect(now time.Time, conn owner.ConnID)
-	Learn(now time.Time, named []wire.Peer)
+	AddPeers(now time.Time, named []wire.Peer)
 	Peers() []wire.Peer
 	Tick(now time.Time)
 	Configure(now time.Time, applied *config.Applied)
--- a/internal/entry/counters.go
+++ b/internal/entry/counters.go
@@ -50,10 +50,10 @@
 	set := func(name string, value int64) {
 		metrics.GetOrRegisterGauge("owner."+name, c.Registry).Update(value)
 	}
-	set("pending_jobs", int64(s.Pending))
-	set("waiting_tasks", int64(s.Waiting))
-	set("open_attempts", int64(s.Attempts))
-	set("known_ids", int64(s.Known))
+	set("pending_jobs", int64(s.PendingJobs))
+	set("waiting_tasks", int64(s.WaitingTasks))
+	set("open_attempts", int64(s.OpenAttempts))
+	set("known_ids", int64(s.KnownIDs))
 	set("agents", int64(s.Agents))
 	set("accepted", int64(s.Counts.Accepted))
 	set("attached", int64(s.Counts.Attached))
@@ -63,5 +63,5 @@
 	set("starts", int64(s.Counts.Starts))
 	set("not_run", int64(s.Counts.NotRun))
 	set("cancels", int64(s.Counts.Cancels))
-	set("unused_outcomes", int64(s.Counts.Unused))
+	set("unused_outcomes", int64(s.Counts.UnusedOutcomes))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -73,7 +73,7 @@
 	out := newOutbox()
 	e.control = newControl(owner.New(owner.Options{
 		Owner: self, Outbox: out, Log: log, Policy: owner.Policy(o.Policy), MaxJobs: o.MaxJobs,
-		LogEvery: o.LogPlacements, MaxTimeout: o.MaxTimeout, DataCentre: o.DataCentre, Entries: o.entries(), Seed: uint64(self.Incarnation),
+		LogEvery: o.LogPlacements, MaxTimeout: o.MaxTimeout, DataCentre: o.DataCentre, PeerAddrs: o.entries(), Seed: uint64(self.Incarnation),
 	}), e.clock, log, metrics.TurnObserver(log))
 	e.build(self, out, metrics)
 	return e, nil
--- a/internal/entry/introduce.go
+++ b/internal/entry/introduce.go
@@ -165,7 +165,7 @@
 		go a.pull(peer.Addr)
 	}
 	if err == nil {
-		err = a.control.do(func(now time.Time, c core) { c.Learn(now, []wire.Peer{peer}) })
+		err = a.control.do(func(now time.Time, c core) { c.AddPeers(now, []wire.Peer{peer}) })
 	}
 	if err != nil {
 		writeFault(g, "", err)
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -84,7 +84,7 @@
 		writeFault(g, s.ID.String(), a.unlessKnown(s.ID, err))
 		return
 	}
-	a.await(g, s.ID, wait, func(now time.Time, c core, w owner.Waiter) (func(), error) {
+	a.await(g, s.ID, wait, func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
 		return c.Submit(now, s, w)
 	})
 }
@@ -95,7 +95,7 @@
 func (a *api) unlessKnown(id job.ID, err error) error {
 	f := *asFault(err)
 	known := true
-	if doErr := a.control.do(func(_ time.Time, c core) { known = c.Knows(id) }); doErr != nil {
+	if doErr := a.control.do(func(_ time.Time, c core) { known = c.HasID(id) }); doErr != nil {
 		known = true
 	}
 	f.NotRun = f.NotRun && !known
@@ -125,7 +125,7 @@
 		a.await(g, id, wait, withheld(id))
 		return
 	}
-	a.await(g, id, wait, func(now time.Time, c core, w owner.Waiter) (func(), error) {
+	a.await(g, id, wait, func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
 		return c.Await(now, id, w)
 	})
 }
--- a/internal/fleet/callers_test.go
+++ b/internal/fleet/callers_test.go
@@ -62,7 +62,7 @@
 
 func (w *world) cancel(sub *submission, via *entry) {
 	w.request(sub, via, func() {
-		overtakes := !sub.owner.core.Knows(sub.sub.ID)
+		overtakes := !sub.owner.core.HasID(sub.sub.ID)
 		if err := sub.owner.core.Cancel(w.now, sub.sub.ID); err == nil && overtakes {
 			sub.notRun = true // cancelled before it came: it must never start
 		}
@@ -148,7 +148,7 @@
 	if w.now.Before(id.Deadline.Add(job.AnswerGrace)) {
 		w.t.Fatalf("%s is told to be expired within the grace", id)
 	}
-	if !sub.lost && len(sub.finals) == 0 && w.now.Before(id.Deadline.Add(owner.AnswerKeep)) {
+	if !sub.lost && len(sub.finals) == 0 && w.now.Before(id.Deadline.Add(owner.AnswerRetention)) {
 		w.t.Fatalf("%s is told to have been given, and was not", id)
 	}
 }
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -240,7 +240,7 @@
 func (w *world) openAt(e *entry, a *agent) int {
 	for _, target := range e.core.Targets() {
 		if target.Incarnation == a.incarnation.String() {
-			return target.Attempts
+			return target.OpenAttempts
 		}
 	}
 	return 0
@@ -351,7 +351,7 @@
 func (w *world) checkSettled() {
 	for _, e := range w.entries {
 		status := e.core.Status()
-		if !e.core.Idle() || status.Attempts > 0 || status.Waiting > 0 {
+		if !e.core.Idle() || status.OpenAttempts > 0 || status.WaitingTasks > 0 {
 			w.t.Fatalf("entry %d still holds %+v", e.slot, status)
 		}
 	}
--- a/internal/fleet/world_test.go
+++ b/internal/fleet/world_test.go
@@ -348,7 +348,7 @@
 	}
 	most := 1
 	if sub.sub.Idempotent {
-		most = owner.MaxTries
+		most = owner.MaxStarts
 	}
 	if w.starts[name] > most {
 		w.t.Fatalf("%s started %d times", name, w.starts[name])
--- a/internal/owner/board.go
+++ b/internal/owner/board.go
@@ -75,7 +75,7 @@
 }
 
 // record is one id's place in the seen-set. It outlives the job's tasks: until
-// the id's deadline it keeps the id from being started again, and for AnswerKeep
+// the id's deadline it keeps the id from being started again, and for AnswerRetention
 // longer it serves look-ups, with results for job.AnswerGrace.
 type record struct {
 	id          job.ID
@@ -104,7 +104,7 @@
 	rec         *record
 	sub         *job.Submission
 	accepted    time.Time
-	waiters     map[int]Waiter
+	waiters     map[int]AnswerFunc
 	nextWait    int
 	tasks       []liveTask
 	waiting     []int // indexes of waiting tasks, shortest first: the longest is taken from the end
--- a/internal/owner/choose.go
+++ b/internal/owner/choose.go
@@ -12,7 +12,7 @@
 // rules returns the queue's order and the placement that a policy stands for.
 func (p Policy) rules() (queueing.Policy, placement.Policy) {
 	switch p {
-	case PolicyFirstCome:
+	case PolicyFCFS:
 		return queueing.FCFS, placement.AnyFree
 	case PolicyRandom:
 		return queueing.FCFS, placement.Random
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -33,9 +33,9 @@
 	Close(conn ConnID)
 }
 
-// Waiter receives a final answer. It is called once, on the control goroutine,
+// AnswerFunc receives a final answer. It is called once, on the control goroutine,
 // and must not block.
-type Waiter func(job.Answer)
+type AnswerFunc func(job.Answer)
 
 // Policy selects how tasks reach targets.
 type Policy string
@@ -44,13 +44,13 @@
 // measurement.
 const (
 	PolicyLeastWork  Policy = "least-work"  // credits, least remaining work first
-	PolicyFirstCome  Policy = "first-come"  // credits, first come first served
+	PolicyFCFS       Policy = "first-come"  // credits, first come first served
 	PolicyRandom     Policy = "random"      // push to a random target
 	PolicyTwoChoices Policy = "two-choices" // push to the less loaded of two
 )
 
 // Policies lists the policies that a setting may name.
-var Policies = []Policy{PolicyLeastWork, PolicyFirstCome, PolicyRandom, PolicyTwoChoices}
+var Policies = []Policy{PolicyLeastWork, PolicyFCFS, PolicyRandom, PolicyTwoChoices}
 
 // push reports whether the policy sends without a credit.
 func (p Policy) push() bool { return p == PolicyRandom || p == PolicyTwoChoices }
@@ -58,20 +58,20 @@
 // Defaults and bounds of an owner's memory.
 const (
 	// DefaultMaxJobs bounds the ids held. At the design size one entry owns some 575
-	// submissions a second (docs/CAPACITY.md); with deadlines of 5 s and AnswerKeep
+	// submissions a second (docs/CAPACITY.md); with deadlines of 5 s and AnswerRetention
 	// that is about 11,500 ids. Ten times as many leaves room for a burst and, at 460
 	// bytes an id that has its answer, takes 55 MB beside MaxAnswerBytes: together
 	// within the 128 MB for control.
 	DefaultMaxJobs = 120_000
-	// AnswerKeep is how long after its deadline an id is remembered. A complete
+	// AnswerRetention is how long after its deadline an id is remembered. A complete
 	// answer is given for job.AnswerGrace only: another entry that could not reach
 	// this one may then tell the caller "failed, outcome unknown". What is kept
 	// longer are failures, and the knowledge that an id was never accepted.
-	AnswerKeep = 15 * time.Second
+	AnswerRetention = 15 * time.Second
 	// MaxAnswerBytes bounds the results kept for look-ups; the oldest go first.
 	MaxAnswerBytes = 48 << 20
-	// MaxTries bounds the starts of an idempotent single request.
-	MaxTries = 3
+	// MaxStarts bounds the starts of an idempotent single request.
+	MaxStarts = 3
 )
 
 // Options configures a Core.
@@ -84,7 +84,7 @@
 	MaxJobs    int
 	MaxTimeout time.Duration // longest time to a deadline; 0 means 10 minutes
 	DataCentre string
-	Entries    []string // other entries, passed on to agents
+	PeerAddrs  []string // other entries, passed on to agents
 	Seed       uint64   // for the push policies' draws; 0 is a seed too
 }
 
@@ -107,7 +107,7 @@
 		o.Policy = PolicyLeastWork
 	}
 	c := &Core{board: newBoard(o), opts: o, log: o.Log}
-	c.configurePeers(o.Entries)
+	c.configurePeers(o.PeerAddrs)
 	return c
 }
 
--- a/internal/owner/expire.go
+++ b/internal/owner/expire.go
@@ -37,7 +37,7 @@
 		return answerable
 	}
 	c.dropResults(r)
-	return r.id.Deadline.Add(AnswerKeep)
+	return r.id.Deadline.Add(AnswerRetention)
 }
 
 // expireAgents forgets agents that have been away for long and left nothing open.
--- a/internal/owner/intake.go
+++ b/internal/owner/intake.go
@@ -18,7 +18,7 @@
 // an id is remembered like an answer: a copy of the same submission that was
 // delayed on another way in would otherwise be accepted after its caller was told
 // "not run".
-func (c *Core) Submit(now time.Time, s *job.Submission, w Waiter) (stop func(), err error) {
+func (c *Core) Submit(now time.Time, s *job.Submission, w AnswerFunc) (stop func(), err error) {
 	if r, known := c.jobs[s.ID.String()]; known {
 		return c.attach(now, r, s, w)
 	}
@@ -39,7 +39,7 @@
 		// The id may have been accepted, answered and forgotten; only an id that
 		// is still in the table could be vouched for.
 		f := fault.Input(fault.DeadlinePast, "id", "the deadline is past")
-		f.NotRun = now.Before(s.ID.Deadline.Add(AnswerKeep))
+		f.NotRun = now.Before(s.ID.Deadline.Add(AnswerRetention))
 		return f
 	}
 	if f := c.tooFar(now, s.ID); f != nil {
@@ -95,13 +95,13 @@
 	r := &record{id: s.ID, fingerprint: s.Fingerprint()}
 	r.answer = job.Answer{ID: s.ID.String(), State: job.Refused, Failure: f}
 	c.jobs[s.ID.String()] = r
-	c.schedule(r, s.ID.Deadline.Add(AnswerKeep))
+	c.schedule(r, s.ID.Deadline.Add(AnswerRetention))
 	return f
 }
 
 func (c *Core) accept(now time.Time, s *job.Submission) *liveJob {
 	r := &record{id: s.ID, fingerprint: s.Fingerprint()}
-	live := &liveJob{rec: r, sub: s, accepted: now, waiters: map[int]Waiter{}}
+	live := &liveJob{rec: r, sub: s, accepted: now, waiters: map[int]AnswerFunc{}}
 	live.tasks = make([]liveTask, len(s.Tasks))
 	live.waiting = make([]int, len(s.Tasks))
 	for i := range s.Tasks {
@@ -147,7 +147,7 @@
 }
 
 // attach answers a submission whose id is known.
-func (c *Core) attach(now time.Time, r *record, s *job.Submission, w Waiter) (func(), error) {
+func (c *Core) attach(now time.Time, r *record, s *job.Submission, w AnswerFunc) (func(), error) {
 	if !r.cancelled && r.fingerprint != s.Fingerprint() {
 		return nil, fault.New(fault.BodyMismatch, "this id came before with another body")
 	}
@@ -162,24 +162,24 @@
 // Await hands the answer of a known id to the waiter, now or when it is final.
 // The error is a *fault.Fault: NotFound where this owner never accepted the id,
 // AnswerExpired where the answer was given and is no longer held.
-func (c *Core) Await(now time.Time, id job.ID, w Waiter) (stop func(), err error) {
+func (c *Core) Await(now time.Time, id job.ID, w AnswerFunc) (stop func(), err error) {
 	r, known := c.jobs[id.String()]
 	if known {
 		return c.await(now, r, w)
 	}
-	if !now.Before(id.Deadline.Add(AnswerKeep)) {
-		return nil, fault.New(fault.AnswerExpired, "an id is forgotten "+AnswerKeep.String()+" after its deadline")
+	if !now.Before(id.Deadline.Add(AnswerRetention)) {
+		return nil, fault.New(fault.AnswerExpired, "an id is forgotten "+AnswerRetention.String()+" after its deadline")
 	}
 	return nil, fault.New(fault.NotFound, "this owner has not accepted the id")
 }
 
-// Knows reports whether the id is in the table: accepted, refused or cancelled.
-func (c *Core) Knows(id job.ID) bool {
+// HasID reports whether the id is in the table: accepted, refused or cancelled.
+func (c *Core) HasID(id job.ID) bool {
 	_, known := c.jobs[id.String()]
 	return known
 }
 
-func (c *Core) await(now time.Time, r *record, w Waiter) (func(), error) {
+func (c *Core) await(now time.Time, r *record, w AnswerFunc) (func(), error) {
 	if r.live != nil {
 		return c.wait(r.live, w), nil
 	}
@@ -197,7 +197,7 @@
 func (r *record) lapsed(now time.Time) bool { return r.evicted || !now.Before(r.id.AnswerableUntil()) }
 
 // give hands the answer to a waiter.
-func (r *record) give(w Waiter) {
+func (r *record) give(w AnswerFunc) {
 	if r.answer.State == job.Complete {
 		r.given++
 	}
@@ -217,15 +217,15 @@
 	event.Log(c.log, event.AnswerWithdrawn, "job", r.id.String(), "evicted", r.evicted)
 }
 
-// Withhold takes back one handing over of a complete answer: its waiter was too late
+// MarkUndelivered takes back one handing over of a complete answer: its waiter was too late
 // to pass the answer on.
-func (c *Core) Withhold(id job.ID) {
+func (c *Core) MarkUndelivered(id job.ID) {
 	if r, known := c.jobs[id.String()]; known && r.given > 0 {
 		r.given--
 	}
 }
 
-func (c *Core) wait(l *liveJob, w Waiter) func() {
+func (c *Core) wait(l *liveJob, w AnswerFunc) func() {
 	key := l.nextWait
 	l.nextWait++
 	l.waiters[key] = w
@@ -251,6 +251,6 @@
 	r = &record{id: id, cancelled: true}
 	r.answer = job.Answer{ID: id.String(), State: job.Failed, Failure: f}
 	c.jobs[id.String()] = r
-	c.schedule(r, id.Deadline.Add(AnswerKeep))
+	c.schedule(r, id.Deadline.Add(AnswerRetention))
 	return nil
 }
--- a/internal/owner/late_test.go
+++ b/internal/owner/late_test.go
@@ -26,7 +26,7 @@
 }
 
 // complete submits a job that ends before its deadline, a second from now.
-func (l *lateCase) complete(w Waiter) job.ID {
+func (l *lateCase) complete(w AnswerFunc) job.ID {
 	l.last++
 	id, err := job.NewID(l.core.opts.Owner.Token(benchKey), l.now.Add(time.Second), fmt.Sprint(l.last), benchKey)
 	l.g.Expect(err).NotTo(HaveOccurred())
@@ -73,7 +73,7 @@
 func TestAnswerThatNobodyWasGivenBecomesAnUnknownOutcome(t *testing.T) {
 	l := newLateCase(t)
 	id := l.abandoned()
-	for _, late := range []time.Duration{job.AnswerGrace, AnswerKeep - time.Millisecond} {
+	for _, late := range []time.Duration{job.AnswerGrace, AnswerRetention - time.Millisecond} {
 		answer, err := l.ask(id, late)
 		l.g.Expect(err).NotTo(HaveOccurred())
 		l.g.Expect(answer.State).To(Equal(job.Failed))
@@ -81,7 +81,7 @@
 		l.g.Expect(answer.Failure.NotRun).To(BeFalse())
 		l.g.Expect(answer.Results).To(BeEmpty())
 	}
-	_, err := l.ask(id, AnswerKeep)
+	_, err := l.ask(id, AnswerRetention)
 	l.g.Expect(err).To(MatchError(fault.New(fault.AnswerExpired, "")))
 }
 
@@ -103,7 +103,7 @@
 func TestWithheldAnswerCountsAsNotGiven(t *testing.T) {
 	l := newLateCase(t)
 	id := l.complete(func(job.Answer) {})
-	l.core.Withhold(id)
+	l.core.MarkUndelivered(id)
 	answer, err := l.ask(id, job.AnswerGrace)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	l.g.Expect(answer.Failure.Code).To(Equal(fault.OutcomeUnknown))
@@ -111,7 +111,7 @@
 	twice := l.complete(func(job.Answer) {})
 	_, err = l.ask(twice, 0)
 	l.g.Expect(err).NotTo(HaveOccurred())
-	l.core.Withhold(twice)
+	l.core.MarkUndelivered(twice)
 	_, err = l.ask(twice, job.AnswerGrace)
 	l.g.Expect(err).To(MatchError(fault.New(fault.AnswerExpired, "")), "the other caller has it")
 }
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -82,8 +82,8 @@
 // named to it. Some may be gone.
 func (c *Core) Peers() []wire.Peer { return c.peers.list() }
 
-// Learn takes the names of other entries that are up.
-func (c *Core) Learn(now time.Time, named []wire.Peer) { c.learn(now, named) }
+// AddPeers takes the names of other entries that are up.
+func (c *Core) AddPeers(now time.Time, named []wire.Peer) { c.learn(now, named) }
 
 // learn adds entries that are up and tells the connected agents
 // what is new. This is how entries and agents find each other behind the balancer
--- a/internal/owner/peers_test.go
+++ b/internal/owner/peers_test.go
@@ -15,12 +15,12 @@
 // old ones kept, the list would be full one day, and a new entry would get no agents.
 func TestNewEntriesReplaceThoseThatAreNoLongerNamed(t *testing.T) {
 	g := NewWithT(t)
-	c := New(Options{Log: logr.Discard(), Entries: []string{"10.9.9.9:7400"}})
+	c := New(Options{Log: logr.Discard(), PeerAddrs: []string{"10.9.9.9:7400"}})
 	start := time.UnixMilli(1_800_000_000_000)
 	steady := wire.Peer{Addr: "10.0.1.1:7400", DataCentre: "a"}
 	for i := range 3 * maxPeers {
 		now := start.Add(time.Duration(i) * time.Hour)
-		c.Learn(now, []wire.Peer{steady, {Addr: fmt.Sprintf("10.1.0.%d:7400", i+1)}, {Addr: "nonsense"}, {Addr: "10.2.2.2:0"}})
+		c.AddPeers(now, []wire.Peer{steady, {Addr: fmt.Sprintf("10.1.0.%d:7400", i+1)}, {Addr: "nonsense"}, {Addr: "10.2.2.2:0"}})
 	}
 	list := c.peers.list()
 	g.Expect(list).To(HaveLen(maxPeers))
--- a/internal/owner/sessions.go
+++ b/internal/owner/sessions.go
@@ -11,12 +11,12 @@
 )
 
 // ProtocolError is a frame that breaks the protocol; the connection is closed.
-type ProtocolError struct{ What string }
+type ProtocolError struct{ Violation string }
 
 // Error implements error.
-func (e *ProtocolError) Error() string { return "protocol: " + e.What }
+func (e *ProtocolError) Error() string { return "protocol: " + e.Violation }
 
-func breach(what string) error { return errors.WithStack(&ProtocolError{What: what}) }
+func breach(what string) error { return errors.WithStack(&ProtocolError{Violation: what}) }
 
 // Connect takes an agent's Hello. A new connection of a known incarnation takes
 // over from the older one: credits start again at zero and every open attempt is
--- a/internal/owner/settle.go
+++ b/internal/owner/settle.go
@@ -33,7 +33,7 @@
 		"reason", int(r.Reason), "run_ms", r.RunMs)
 	if at.live == nil {
 		if r.State != wire.NotRun {
-			c.counts.Unused++
+			c.counts.UnusedOutcomes++
 		}
 		return
 	}
@@ -138,7 +138,7 @@
 }
 
 func (c *Core) retryOrFail(now time.Time, l *liveJob, task int, f *fault.Fault) {
-	if l.sub.Idempotent && l.tasks[task].tries < MaxTries {
+	if l.sub.Idempotent && l.tasks[task].tries < MaxStarts {
 		c.putBack(l, task)
 		return
 	}
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -9,45 +9,45 @@
 
 // Counts counts events since the start of the process.
 type Counts struct {
-	Accepted uint64 `json:"accepted"`
-	Attached uint64 `json:"attached"`
-	Refused  uint64 `json:"refused"`
-	Complete uint64 `json:"complete"`
-	Failed   uint64 `json:"failed"`
-	Starts   uint64 `json:"starts"`  // start messages sent
-	NotRun   uint64 `json:"not_run"` // starts that an agent turned away
-	Cancels  uint64 `json:"cancels"` // attempts called back after sending
-	Unused   uint64 `json:"unused"`  // outcomes that came after their job had ended
+	Accepted       uint64 `json:"accepted"`
+	Attached       uint64 `json:"attached"`
+	Refused        uint64 `json:"refused"`
+	Complete       uint64 `json:"complete"`
+	Failed         uint64 `json:"failed"`
+	Starts         uint64 `json:"starts"`  // start messages sent
+	NotRun         uint64 `json:"not_run"` // starts that an agent turned away
+	Cancels        uint64 `json:"cancels"` // attempts called back after sending
+	UnusedOutcomes uint64 `json:"unused"`  // outcomes that came after their job had ended
 }
 
 // Status is a summary of an entry for operators.
 type Status struct {
-	Incarnation string `json:"incarnation"`
-	Addr        string `json:"addr"`
-	Draining    bool   `json:"draining"`
-	Pending     int    `json:"pending"`  // jobs without a final answer
-	Waiting     int    `json:"waiting"`  // tasks not sent
-	Attempts    int    `json:"attempts"` // tasks sent and not settled
-	Known       int    `json:"known"`    // ids held
-	Agents      int    `json:"agents"`   // connected
-	Counts      Counts `json:"counts"`
+	Incarnation  string `json:"incarnation"`
+	Addr         string `json:"addr"`
+	Draining     bool   `json:"draining"`
+	PendingJobs  int    `json:"pending"`  // jobs without a final answer
+	WaitingTasks int    `json:"waiting"`  // tasks not sent
+	OpenAttempts int    `json:"attempts"` // tasks sent and not settled
+	KnownIDs     int    `json:"known"`    // ids held
+	Agents       int    `json:"agents"`   // connected
+	Counts       Counts `json:"counts"`
 }
 
 // TargetStatus is what an entry knows of one target.
 type TargetStatus struct {
-	Target      string     `json:"target"`
-	Worker      string     `json:"worker"`
-	DataCentre  string     `json:"data_centre,omitempty"`
-	Rack        string     `json:"rack,omitempty"`
-	Incarnation string     `json:"incarnation"`
-	Connected   bool       `json:"connected"`
-	Leaving     bool       `json:"leaving"`
-	Down        bool       `json:"down"`
-	Slots       int        `json:"slots"`
-	Speed       float64    `json:"speed"`
-	Credits     int        `json:"credits"`
-	Attempts    int        `json:"attempts"`
-	Capacity    job.Demand `json:"capacity"`
+	Target       string     `json:"target"`
+	Worker       string     `json:"worker"`
+	DataCentre   string     `json:"data_centre,omitempty"`
+	Rack         string     `json:"rack,omitempty"`
+	Incarnation  string     `json:"incarnation"`
+	Connected    bool       `json:"connected"`
+	Leaving      bool       `json:"leaving"`
+	Down         bool       `json:"down"`
+	Slots        int        `json:"slots"`
+	Speed        float64    `json:"speed"`
+	Credits      int        `json:"credits"`
+	OpenAttempts int        `json:"attempts"`
+	Capacity     job.Demand `json:"capacity"`
 }
 
 // Status returns the summary.
@@ -56,16 +56,16 @@
 		Incarnation: c.opts.Owner.Incarnation.String(),
 		Addr:        c.opts.Owner.Addr.String(),
 		Draining:    c.draining,
-		Pending:     c.pending,
-		Known:       len(c.jobs),
+		PendingJobs: c.pending,
+		KnownIDs:    len(c.jobs),
 		Agents:      len(c.byConn),
 		Counts:      c.counts,
 	}
 	for _, n := range c.waitingTasks {
-		s.Waiting += n
+		s.WaitingTasks += n
 	}
 	for _, a := range c.agents {
-		s.Attempts += len(a.attempts)
+		s.OpenAttempts += len(a.attempts)
 	}
 	return s
 }
@@ -78,7 +78,7 @@
 			Target: a.target.Name, Worker: a.worker, DataCentre: a.dataCentre, Rack: a.rack,
 			Incarnation: a.incarnation.String(), Connected: a.conn != 0,
 			Leaving: a.leaving(), Down: a.target.Down, Slots: a.target.Slots, Speed: a.target.Speed,
-			Credits: a.credits(), Attempts: len(a.attempts), Capacity: a.target.Capacity,
+			Credits: a.credits(), OpenAttempts: len(a.attempts), Capacity: a.target.Capacity,
 		})
 	}
 	slices.SortFunc(all, func(x, y TargetStatus) int { return cmp.Compare(x.Worker, y.Worker) })
