--- a/internal/config/catalogue.go
+++ b/internal/config/catalogue.go
@@ -28,29 +28,29 @@
 
 // Definition describes a setting to operators and to the code that checks it.
 type Definition struct {
-	Key      Key
-	Unit     string
-	Default  int64
-	Min, Max int64
-	Scopes   []ScopeKind // where an exception may change it; none: fleet-wide only
-	Description     string
-	field    func(*Settings) *int64
+	Key         Key
+	Unit        string
+	Default     int64
+	Min, Max    int64
+	Scopes      []ScopeKind // where an exception may change it; none: fleet-wide only
+	Description string
+	field       func(*Settings) *int64
 }
 
 // Settings is what a configuration means to a process: every value resolved.
 type Settings struct {
-	MaxJobs        int64 // ids an entry holds, below its own -max-jobs
-	SoftQueueMs    int64 // queue from which teams above their share are turned away
-	HardQueueMs    int64 // queue from which everything is turned away
-	OvertakeFactorPercent int64 // of the expected wait that a job must stand before its deadline
-	MaxDeadlineMs  int64 // farthest deadline a caller may ask for, below -max-timeout
-	BrokenFailurePercent  int64 // failure rate that a broken target is taken to have
-	InitialTrialIntervalMs   int64 // wait before a broken target's first trial task
-	MaxTrialIntervalMs    int64 // longest wait between its trial tasks
-	DefaultQuota   int64 // tasks of one team that may run at a time; 0 means no limit
-	Drain          bool  // takes no new work
-	drain          int64
-	quotas         []quota
+	MaxJobs                int64 // ids an entry holds, below its own -max-jobs
+	SoftQueueMs            int64 // queue from which teams above their share are turned away
+	HardQueueMs            int64 // queue from which everything is turned away
+	OvertakeFactorPercent  int64 // of the expected wait that a job must stand before its deadline
+	MaxDeadlineMs          int64 // farthest deadline a caller may ask for, below -max-timeout
+	BrokenFailurePercent   int64 // failure rate that a broken target is taken to have
+	InitialTrialIntervalMs int64 // wait before a broken target's first trial task
+	MaxTrialIntervalMs     int64 // longest wait between its trial tasks
+	DefaultQuota           int64 // tasks of one team that may run at a time; 0 means no limit
+	Drain                  bool  // takes no new work
+	drain                  int64
+	quotas                 []quota
 }
 
 type quota struct {
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -14,11 +14,11 @@
 
 // Outcomes. A record that is no change counts as Ignored.
 const (
-	Ignored   Outcome = iota
-	Accepted          // the change made a new version
-	VoidStaleBase          // its base was no longer the current version
-	VoidInvalid         // it can't be part of any state
-	Malformed         // its bytes are no record
+	Ignored       Outcome = iota
+	Accepted              // the change made a new version
+	VoidStaleBase         // its base was no longer the current version
+	VoidInvalid           // it can't be part of any state
+	Malformed             // its bytes are no record
 	Undetermined          // met while detached: whether it was accepted can't be told
 )
 
@@ -33,7 +33,7 @@
 	Outcome Outcome
 	Change  *Change  // nil for a restart
 	Restart *Restart // nil for a change
-	State  *State   // the state in force after the record
+	State   *State   // the state in force after the record
 	Err     error    // for VoidShape and Malformed
 }
 
--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -37,14 +37,14 @@
 
 // Options of a follower; zero durations take the defaults.
 type Options struct {
-	Log           platformlog.Log
-	Replica        *config.Replica
-	Clock         clock.Clock
-	Logger        logr.Logger
-	Rand          *rand.Rand
+	Log              platformlog.Log
+	Replica          *config.Replica
+	Clock            clock.Clock
+	Logger           logr.Logger
+	Rand             *rand.Rand
 	PollInterval     time.Duration
 	SnapshotInterval time.Duration
-	StaleAfter    time.Duration
+	StaleAfter       time.Duration
 }
 
 // Follower reads the log for one process. Its methods belong to one goroutine.
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -12,7 +12,7 @@
 type Batch struct {
 	From      uint64
 	Records   []platformlog.Record
-	Results  []Result
+	Results   []Result
 	More      bool // the end of the log was not reached
 	Truncated bool // records that the fold had not seen were dropped
 }
