--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -29,10 +29,10 @@
 	self := e.api.owner
 	where := config.Location{DataCentre: e.o.DataCentre, Entry: self.Addr.String()}
 	c := &configuration{holder: config.NewReplica(where, e.clock, e.log), fanOut: config.NewFanOut(nil), news: make(chan struct{}, 1)}
-	if e.o.Log != "" {
+	if e.o.LogURL != "" {
 		c.follower = follower.New(follower.Options{
-			Log: e.o.OpenLog(e.o.Log), Replica: c.holder, Clock: e.clock, Logger: e.log,
-			Rand: c.random(), SnapshotInterval: e.o.SnapshotEvery,
+			Log: e.o.OpenLog(e.o.LogURL), Replica: c.holder, Clock: e.clock, Logger: e.log,
+			Rand: c.random(), SnapshotInterval: e.o.SnapshotInterval,
 		})
 	}
 	return c
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -130,7 +130,7 @@
 			e.finish(errors.Wrap(err, "serve"))
 		}
 	}()
-	event.Log(e.log, event.EntryStarting, "addr", e.Addr(), "entries", e.o.Entries, "log", e.o.Log)
+	event.Log(e.log, event.EntryStarting, "addr", e.Addr(), "entries", e.o.Entries, "log", e.o.LogURL)
 	confirmed, silent := e.catchUp()
 	for _, addr := range e.o.entries() {
 		go e.introduce(addr)
@@ -142,8 +142,8 @@
 		"silent_entries", strings.Join(silent, ","))
 }
 
-// Drained is closed when a drain is over, or when serving failed.
-func (e *Entry) Drained() <-chan struct{} { return e.drainedCh }
+// Done is closed when a drain is over, or when serving failed.
+func (e *Entry) Done() <-chan struct{} { return e.drainedCh }
 
 // Stop drains and ends the daemon. It returns once everything accepted has its
 // answer and callers have had the time to fetch it, or with an error when the
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -305,9 +305,9 @@
 		var r reply
 		Eventually(replies).Should(Receive(&r))
 		Expect(r.State).To(Equal(job.Complete))
-		Consistently(e.Drained(), "100ms").ShouldNot(BeClosed())
+		Consistently(e.Done(), "100ms").ShouldNot(BeClosed())
 		Expect(call(http.MethodGet, other.Addr(), "/v1/jobs/"+polling, nil).State).To(Equal(job.Complete))
-		Eventually(e.Drained(), "5s").Should(BeClosed())
+		Eventually(e.Done(), "5s").Should(BeClosed())
 		Expect(e.Stop(context.Background())).To(Succeed())
 	})
 
@@ -326,12 +326,12 @@
 		}()
 		Eventually(agent.startCounts).Should(HaveLen(1))
 		Expect(call(http.MethodPost, e.Addr(), "/v1/drain", nil).status).To(Equal(http.StatusAccepted))
-		Consistently(e.Drained(), "2500ms").ShouldNot(BeClosed()) // longer than the close of idle connections takes
+		Consistently(e.Done(), "2500ms").ShouldNot(BeClosed()) // longer than the close of idle connections takes
 		agent.holding(false)
 		var r reply
 		Eventually(replies).Should(Receive(&r))
 		Expect(r.State).To(Equal(job.Complete))
-		Eventually(e.Drained(), "5s").Should(BeClosed())
+		Eventually(e.Done(), "5s").Should(BeClosed())
 	})
 
 	// Guards against a drain that cuts off requests which another entry answers.
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -14,7 +14,7 @@
 		Name: Program, LogLevel: o.LogLevel, StopTimeout: o.drainTimeout() + 2*closeTimeout,
 		New: func(log logr.Logger) (*Entry, error) { return New(*o, log) },
 		Service: func(e *Entry) daemon.Service {
-			return daemon.Service{Start: e.Start, Done: e.Drained(), Stop: e.Stop}
+			return daemon.Service{Start: e.Start, Done: e.Done(), Stop: e.Stop}
 		},
 	}.Module()
 }
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -29,20 +29,20 @@
 
 // Options are the daemon's settings.
 type Options struct {
-	Listen        string
-	Advertise     string // "ip:port" in tokens; empty means the bound address
-	DataCentre    string
-	Entries       string // addresses of other entries, comma separated
-	Key           string
-	Log           string             // base URL of the platform's log; empty: configuration comes from agents alone
-	OpenLog       platformlog.Opener // needed with Log
-	SnapshotEvery time.Duration      // of the configuration; at most half of the log's retention
-	MaxTimeout    time.Duration
-	MaxJobs       int
-	LogPlacements int
-	LogLevel      int
-	Policy        string
-	CrashOnBreach bool
+	Listen           string
+	Advertise        string // "ip:port" in tokens; empty means the bound address
+	DataCentre       string
+	Entries          string // addresses of other entries, comma separated
+	Key              string
+	LogURL           string             // base URL of the platform's log; empty: configuration comes from agents alone
+	OpenLog          platformlog.Opener // needed with Log
+	SnapshotInterval time.Duration      // of the configuration; at most half of the log's retention
+	MaxTimeout       time.Duration
+	MaxJobs          int
+	LogPlacements    int
+	LogLevel         int
+	Policy           string
+	CrashOnBreach    bool
 	// DrainTimeout bounds a graceful shutdown; 0 means as long as a job may take.
 	DrainTimeout time.Duration
 }
@@ -58,8 +58,8 @@
 	s.StringVar(&o.DataCentre, "data-centre", "", "name of the data centre")
 	s.StringVar(&o.Entries, "entries", "", "addresses of other entries, to tell agents about and to make itself known to, comma separated")
 	key := s.Secret("key", "secret of the fleet that signs tokens, at least 16 bytes")
-	s.StringVar(&o.Log, "log", "", "base URL of the platform's log, such as http://10.0.0.7:7000; without it, configuration comes from agents alone")
-	s.DurationVar(&o.SnapshotEvery, "snapshot-every", follower.DefaultSnapshotInterval, "longest time between snapshots of the configuration; at most half of the log's retention")
+	s.StringVar(&o.LogURL, "log", "", "base URL of the platform's log, such as http://10.0.0.7:7000; without it, configuration comes from agents alone")
+	s.DurationVar(&o.SnapshotInterval, "snapshot-every", follower.DefaultSnapshotInterval, "longest time between snapshots of the configuration; at most half of the log's retention")
 	s.DurationVar(&o.MaxTimeout, "max-timeout", 10*time.Minute, "longest time from now to a submission's deadline")
 	s.IntVar(&o.MaxJobs, "max-jobs", owner.DefaultMaxJobs, "most submission ids held")
 	s.IntVar(&o.LogPlacements, "log-placements", 1, "log one placement of a task in so many; 0: none")
@@ -89,8 +89,8 @@
 	s.AddCheck("max-timeout", func() string {
 		return settings.MessageIf(o.MaxTimeout < time.Second || o.MaxTimeout > 24*time.Hour, "takes 1s to 24h")
 	})
-	s.AddCheck("log", func() string { return checkLog(o.Log) })
-	s.AddCheck("snapshot-every", func() string { return settings.MessageIf(o.SnapshotEvery < time.Second, "takes 1s or more") })
+	s.AddCheck("log", func() string { return checkLog(o.LogURL) })
+	s.AddCheck("snapshot-every", func() string { return settings.MessageIf(o.SnapshotInterval < time.Second, "takes 1s or more") })
 	s.AddCheck("max-jobs", func() string { return settings.MessageIf(o.MaxJobs < 1, "takes 1 or more") })
 	s.AddCheck("log-placements", func() string { return settings.MessageIf(o.LogPlacements < 0, "takes 0 or more") })
 	s.AddCheck("log-level", func() string { return settings.MessageIf(o.LogLevel < 0 || o.LogLevel > 2, "takes 0, 1 or 2") })
