--- a/internal/owner/admit.go
+++ b/internal/owner/admit.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// reconnectGrace is how long a disconnected agent still counts as capacity. A
-	// session that is replaced must not make the entry refuse work meanwhile.
+	// reconnectGrace is how long a disconnected agent still counts as capacity, so that the
+	// replacement of a session does not make the entry refuse work.
 	reconnectGrace = 2 * time.Second
-	// admitAll is how long after its start an entry lets everything in: until the
-	// agents have dialled, its capacity looks like nothing. Longer, and an entry that
-	// is replaced under saturation fills up with work it can't finish in time.
-	admitAll = time.Second
-	// shedEvery is how often waiting jobs are looked through for those that can't
-	// be done in time any more. The look sorts the queue, so it is not done on
-	// every event; a caller learns at most this much later than it could.
-	shedEvery = 100 * time.Millisecond
-	// contendedAfter is how long the queue must take to work off before teams are
-	// held to their shares: less than what admission lets in of a flood, so that
-	// shares apply by the time the flood's jobs fill the queue.
-	contendedAfter = time.Second
-	// holdBelow is how long the queue may take to work off for tasks to be held back
-	// for faster targets. Holding leaves slots idle, and in a long queue somebody
-	// always has a use for them.
-	holdBelow = 2 * time.Second
-	// anyClass asks for the capacity of all targets together.
+	// admissionStartDelay is the time after its start in which an entry admits every job:
+	// its capacity appears to be zero until the agents have connected. With a longer delay,
+	// an entry that is replaced under saturation fills up with work that it can't finish in
+	// time.
+	admissionStartDelay = time.Second
+	// shedInterval is the interval between checks of the waiting jobs for those that can no
+	// longer be done in time. A check sorts the queue, so it is not done on every event; a
+	// caller gets its answer at most this much later.
+	shedInterval = 100 * time.Millisecond
+	// contentionThreshold is the time to drain the queue above which teams are limited to
+	// their shares. It is less than admission accepts of a burst, so that the shares apply
+	// by the time the burst's jobs fill the queue.
+	contentionThreshold = time.Second
+	// maxHoldQueue is the time to drain the queue up to which tasks are held for faster
+	// targets. Holding leaves slots idle, which other tasks of a longer queue can use.
+	maxHoldQueue = 2 * time.Second
+	// anyClass makes Core.capacity count the targets of all classes.
 	anyClass = ""
 )
 
-// team is what is known of one team's work.
+// team sums up one team's unfinished work.
 type team struct {
-	waiting  int     // tasks
-	queuedMs float64 // unfinished work
+	waiting  int     // number of waiting tasks
+	queuedMs float64 // estimated run time of unfinished tasks, in ms at speed 1
 }
 
+// team returns the sums of a team, and adds the team if it is new.
 func (c *Core) team(name string) *team {
 	t := c.teams[name]
 	if t == nil {
@@ -53,40 +54,41 @@
 	return t
 }
 
-// addWork moves the sums of unfinished work.
-func (c *Core) addWork(l *liveJob, ms float64) {
+// addQueuedWork adds ms, which may be negative, to the sums of unfinished work.
+func (c *Core) addQueuedWork(l *liveJob, ms float64) {
 	c.queuedMs += ms
 	c.team(l.sub.Team).queuedMs += ms
 }
 
-// dropTeam forgets a team without work, so that names that come once don't stay.
-func (c *Core) dropTeam(name string) {
+// removeIdleTeam removes a team without work, so that the table of teams does not grow with
+// every name that is used once.
+func (c *Core) removeIdleTeam(name string) {
 	if t := c.teams[name]; t != nil && t.idle() {
 		delete(c.teams, name)
 	}
 }
 
-// idle reports whether the team has no work; what is left of the sum then is the
-// rounding of its additions.
+// idle reports whether the team has no work. The sum may then still differ from zero by
+// rounding errors.
 func (t *team) idle() bool { return t.waiting == 0 && t.queuedMs < 1 }
 
-// capacity returns the work that this entry gets done in a millisecond, as its
-// share of the targets it knows, and the speed of the fastest that serves the class.
+// capacity returns the work at speed 1, in milliseconds, that this entry's share of the
+// targets of a class completes per millisecond, and the speed of the fastest of them.
 func (c *Core) capacity(now time.Time, class string) (perMs, fastest float64) {
 	for _, a := range c.roster {
 		if a.conn == 0 && now.Sub(a.lastSeen) > reconnectGrace || a.leaving() || a.target.Down || class != anyClass && !a.serves(class) {
 			continue
 		}
 		speed := c.estimator.Speed(uint64(a.incarnation), a.target.Speed)
-		perMs += speed * float64(a.target.Slots) / float64(max(a.owners, 1))
+		perMs += speed * float64(a.target.Slots) / float64(max(a.ownerCount, 1))
 		fastest = max(fastest, speed)
 	}
 	return perMs, fastest
 }
 
-// admit asks the admission rules; nil means that the job is let in.
-func (c *Core) admit(now time.Time, s *job.Submission) *fault.Fault {
-	if c.opts.Policy != PolicyLeastWork || now.Sub(c.started) < admitAll {
+// checkLoad applies admission control by load; nil means that the job is admitted.
+func (c *Core) checkLoad(now time.Time, s *job.Submission) *fault.Fault {
+	if c.opts.Policy != PolicyLeastWork || now.Sub(c.startedAt) < admissionStartDelay {
 		return nil
 	}
 	var work, longest float64
@@ -103,7 +105,7 @@
 		TeamQueuedMs: c.team(s.Team).queuedMs, Teams: len(c.teams),
 		Limits: c.conf.admission,
 	}
-	rank := c.order.Rank(queueing.Job{RemainingMs: work, LongestMs: longest, Arrived: now, Deadline: s.ID.Deadline})
+	rank := c.queuePolicy.Rank(queueing.Job{RemainingMs: work, LongestMs: longest, Arrived: now, Deadline: s.ID.Deadline})
 	c.ready.Each(func(it *queueing.Item[*liveJob]) bool {
 		if it.Rank() < rank {
 			view.AheadMs += it.Value.remainingMs
@@ -114,34 +116,35 @@
 	if decision.Admit {
 		return nil
 	}
-	c.dropTeam(s.Team)
+	c.removeIdleTeam(s.Team)
 	return fault.Refused(fault.Overloaded, decision.Reason.String(), decision.RetryAfter)
 }
 
-// shareOut tells the limiter of teams what there is to share.
-func (c *Core) shareOut(perMs float64) {
+// updateSharing updates the team limiter, and whether tasks may be held for faster targets,
+// from the connected agents and the time to drain the queue at the capacity perMs.
+func (c *Core) updateSharing(perMs float64) {
 	slots, owners := 0, 1
 	for _, a := range c.byConn {
 		slots += a.target.Slots
-		owners = max(owners, a.owners)
+		owners = max(owners, a.ownerCount)
 	}
 	c.limiter.SetSlots(slots / owners)
 	c.limiter.SetOwners(owners)
-	c.limiter.SetContended(c.queuedMs > perMs*clock.Millis(contendedAfter))
-	c.placing.NoHold = c.queuedMs > perMs*clock.Millis(holdBelow)
+	c.limiter.SetContended(c.queuedMs > perMs*clock.Millis(contentionThreshold))
+	c.placementOptions.NoHold = c.queuedMs > perMs*clock.Millis(maxHoldQueue)
 }
 
-// shed ends waiting jobs that can't be done in time any more, so that their
-// callers can act and the targets don't work for answers that come too late.
+// shed fails waiting jobs that can no longer be done in time, so that their callers can
+// react and the targets do no work for late answers.
 func (c *Core) shed(now time.Time) {
-	if c.opts.Policy != PolicyLeastWork || now.Sub(c.lastShed) < shedEvery {
+	if c.opts.Policy != PolicyLeastWork || now.Sub(c.lastShed) < shedInterval {
 		return
 	}
 	c.lastShed = now
 	perMs, fastest := c.capacity(now, anyClass)
-	c.shareOut(perMs)
+	c.updateSharing(perMs)
 	if c.ready.Len() == 0 || perMs == 0 {
-		return // where nobody is there now, agents may come back before the deadlines
+		return // without usable targets nothing is shed: agents may reconnect before the deadlines
 	}
 	waiting := make([]*liveJob, 0, c.ready.Len())
 	c.ready.Each(func(it *queueing.Item[*liveJob]) bool {
@@ -161,6 +164,6 @@
 		event.Log(c.log, event.JobShed, "job", l.sub.ID.String(), "team", l.sub.Team, "reason", d.Reason.String())
 		f := fault.New(fault.Overloaded, "it can't be done before its deadline any more: "+d.Reason.String())
 		f.RetryAfterMs = admission.MinRetry.Milliseconds()
-		c.fail(now, l, f)
+		c.failJob(now, l, f)
 	}
 }
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -15,15 +15,16 @@
 
 var benchKey = job.Key("0123456789abcdef")
 
-// echo is an outbox behind which every start succeeds by the next turn.
-type echo struct {
+// echoOutbox is an Outbox that collects a report of success for every start. deliverReports
+// hands the reports to the core.
+type echoOutbox struct {
 	frames map[ConnID]*wire.ToEntry
 	starts int
 }
 
-func (e *echo) Close(ConnID) {}
+func (e *echoOutbox) Close(ConnID) {}
 
-func (e *echo) Send(conn ConnID, f *wire.ToAgent) {
+func (e *echoOutbox) Send(conn ConnID, f *wire.ToAgent) {
 	for i := range f.Starts {
 		reply := e.frames[conn]
 		if reply == nil {
@@ -35,8 +36,8 @@
 	}
 }
 
-func newBenchCore(agents int) (*Core, *echo) {
-	out := &echo{frames: map[ConnID]*wire.ToEntry{}}
+func newBenchCore(agents int) (*Core, *echoOutbox) {
+	out := &echoOutbox{frames: map[ConnID]*wire.ToEntry{}}
 	c := New(Options{
 		Owner:  job.Owner{Incarnation: 7, Addr: netip.MustParseAddrPort("127.0.0.1:7000")},
 		Outbox: out, Log: logr.Discard(),
@@ -53,8 +54,8 @@
 	return c, out
 }
 
-// answer delivers the reports that are due and grants the credits spent.
-func (e *echo) answer(c *Core, now time.Time, granted map[ConnID]uint64) {
+// deliverReports delivers the collected reports and grants the spent credits again.
+func (e *echoOutbox) deliverReports(c *Core, now time.Time, granted map[ConnID]uint64) {
 	for conn, f := range e.frames {
 		granted[conn] += uint64(len(f.Reports))
 		f.Credits = &wire.Credits{Total: 8 + granted[conn], Owners: 2}
@@ -63,9 +64,9 @@
 	}
 }
 
-// BenchmarkTaskStart is the owner's processor time for one task, from the job's
-// acceptance to its answer, by the number of agents it knows. A job has 14 tasks,
-// the mean of the users' mix.
+// BenchmarkTaskStart measures the owner's processor time for one task, from the acceptance
+// of its job to the answer, by the number of agents. A job has 14 tasks, the mean of the
+// users' mix.
 func BenchmarkTaskStart(b *testing.B) {
 	for _, agents := range []int{10, 50, 200} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -81,7 +82,7 @@
 				_, _ = c.Submit(now, s, func(job.Answer) {})
 				c.Flush()
 				for len(out.frames) > 0 {
-					out.answer(c, now, granted)
+					out.deliverReports(c, now, granted)
 					c.Flush()
 				}
 				if i%10 == 0 {
@@ -92,8 +93,8 @@
 	}
 }
 
-// BenchmarkIDHeld is the memory of one id that has its answer and is held until it
-// may be forgotten.
+// BenchmarkIDHeld measures the memory of one id that has its answer and is held until its
+// retention is over.
 func BenchmarkIDHeld(b *testing.B) {
 	c, _ := newBenchCore(1)
 	token := c.opts.Owner.Token(benchKey)
--- a/internal/owner/choose.go
+++ b/internal/owner/choose.go
@@ -9,8 +9,8 @@
 	"github.com/camphorrack/camphorrack/internal/scheduler/queueing"
 )
 
-// rules returns the queue's order and the placement that a policy stands for.
-func (p Policy) rules() (queueing.Policy, placement.Policy) {
+// queueAndPlacement returns the queueing and the placement policy that p stands for.
+func (p Policy) queueAndPlacement() (queueing.Policy, placement.Policy) {
 	switch p {
 	case PolicyFCFS:
 		return queueing.FCFS, placement.AnyFree
@@ -23,28 +23,29 @@
 	}
 }
 
-// view fills the candidates with the agents that can be used now. It is done once
-// for all jobs of a dispatch, and the slices are kept: placement is on the path of
-// every task, and building the view costs more than choosing from it.
-func (c *Core) view(now time.Time) {
-	c.candidates, c.viewed = c.candidates[:0], c.viewed[:0]
+// collectCandidates collects the usable agents as candidates for placement. It runs once for
+// all jobs of a dispatch, and the slices are reused: placement is on the path of every task,
+// and collecting the candidates costs more than choosing one.
+func (c *Core) collectCandidates(now time.Time) {
+	c.candidates, c.candidateAgents = c.candidates[:0], c.candidateAgents[:0]
 	for _, a := range c.roster {
 		if a.usable(now) {
 			c.candidates = append(c.candidates, c.candidate(now, a))
-			c.viewed = append(c.viewed, a)
+			c.candidateAgents = append(c.candidateAgents, a)
 		}
 	}
 }
 
+// candidate returns the state of the agent's target for placement.
 func (c *Core) candidate(now time.Time, a *agent) placement.Candidate {
 	id := uint64(a.incarnation)
 	return placement.Candidate{
 		AgentID:     id,
 		Classes:     a.target.Classes,
-		Speed:       c.speed(now, a),
+		Speed:       c.effectiveSpeed(now, a),
 		Credits:     a.credits(),
 		InFlight:    len(a.attempts),
-		WaitMs:      a.gap.WaitMs(now),
+		WaitMs:      a.creditInterval.WaitMs(now),
 		Free:        a.target.Capacity.Sub(a.inUse),
 		Rack:        a.rack,
 		DataCentre:  a.dataCentre,
@@ -53,18 +54,19 @@
 	}
 }
 
-// speed is the speed to reckon with: as measured, and lower where the oldest
-// running task takes much longer than it should.
-func (c *Core) speed(now time.Time, a *agent) float64 {
+// effectiveSpeed returns the speed that placement assumes for the agent's target: the
+// measured one, or a lower one if the oldest running task takes much longer than estimated.
+func (c *Core) effectiveSpeed(now time.Time, a *agent) float64 {
 	measured := c.estimator.Speed(uint64(a.incarnation), a.target.Speed)
-	oldest := a.oldest()
+	oldest := a.oldestAttempt()
 	if oldest == nil || measured <= 0 {
 		return measured
 	}
 	return health.StragglerSpeed(measured, clock.Millis(now.Sub(oldest.sentAt)), oldest.estimateMs/measured)
 }
 
-func (c *Core) taskView(now time.Time, l *liveJob, task int, slackMs float64) placement.Task {
+// placementTask returns a task of the job in the form that placement takes.
+func (c *Core) placementTask(now time.Time, l *liveJob, task int, slackMs float64) placement.Task {
 	t := placement.Task{
 		Class:       l.sub.Class,
 		EstimateMs:  l.tasks[task].estimateMs,
@@ -74,24 +76,25 @@
 		DeadlineIn:  l.sub.ID.Deadline.Sub(now),
 	}
 	if l.sub.SpreadRacks {
-		t.AvoidRacks = l.racks()
+		t.AvoidRacks = l.usedRacks()
 	}
 	return t
 }
 
-// slackMs is when the last of the job's running tasks is expected to end, from now.
+// slackMs returns the time from now until the last of the job's running tasks is expected to
+// end; 0 if none runs.
 func (l *liveJob) slackMs(now time.Time) float64 {
 	last := now
 	for i := range l.tasks {
-		if at := l.tasks[i].attempt; at != nil && at.endsAt.After(last) {
-			last = at.endsAt
+		if at := l.tasks[i].attempt; at != nil && at.expectedEnd.After(last) {
+			last = at.expectedEnd
 		}
 	}
 	return clock.Millis(last.Sub(now))
 }
 
-// racks returns the racks in which tasks of the job run.
-func (l *liveJob) racks() []string {
+// usedRacks returns the racks in which tasks of the job run.
+func (l *liveJob) usedRacks() []string {
 	var racks []string
 	for i := range l.tasks {
 		if at := l.tasks[i].attempt; at != nil {
--- a/internal/owner/configure.go
+++ b/internal/owner/configure.go
@@ -11,9 +11,9 @@
 	"github.com/camphorrack/camphorrack/internal/scheduler/health"
 )
 
-// configured is the part of the blackboard that operators set. Until they have
-// set anything it holds what the process was started with.
-type configured struct {
+// operatorConfig is the part of the state that operators configure. Until they do, it holds
+// the settings with which the process was started.
+type operatorConfig struct {
 	state      *config.State // nil: never configured
 	maxJobs    int
 	maxTimeout time.Duration
@@ -21,12 +21,12 @@
 	quotas     config.Settings
 }
 
-// Configure puts a configuration in force; it takes effect on the next decision.
-// What an entry was started with (MaxJobs, MaxTimeout) bounds what operators set:
-// the host's memory was reckoned with it.
+// Configure applies a configuration; it takes effect on the next decision. MaxJobs and
+// MaxTimeout of the Options are upper bounds of what operators can set, because the memory
+// of the host was planned with them.
 func (c *Core) Configure(now time.Time, applied *config.Applied) {
 	s := applied.Settings
-	c.conf = configured{
+	c.conf = operatorConfig{
 		state:      applied.State,
 		maxJobs:    min(c.opts.MaxJobs, int(s.MaxJobs)),
 		maxTimeout: min(c.opts.MaxTimeout, millis(s.MaxDeadlineMs)),
@@ -43,13 +43,13 @@
 	c.limiter.SetLimits(s.Quotas())
 	c.limiter.SetDefault(int(s.DefaultQuota))
 	for _, a := range c.roster {
-		c.configureAgent(a)
+		c.updateDrained(a)
 	}
 	c.dispatch(now)
 }
 
-// configureAgent looks up whether operators have drained the agent's target.
-func (c *Core) configureAgent(a *agent) {
+// updateDrained updates from the configuration whether the agent's target is drained.
+func (c *Core) updateDrained(a *agent) {
 	if c.conf.state == nil {
 		return
 	}
@@ -57,20 +57,23 @@
 	a.drained = s.Drain
 }
 
-// leaving reports whether the target gets no new work, by its own word or by the
-// operators'.
+// leaving reports whether the target gets no new tasks, because its agent announced that it
+// is leaving or operators drained it.
 func (a *agent) leaving() bool { return a.target.Leaving || a.drained }
 
+// millis converts milliseconds to a duration; values that are too large become the longest
+// duration in whole milliseconds.
 func millis(n int64) time.Duration {
 	return time.Duration(min(n, math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
 }
 
-// tooFar refuses a deadline beyond what operators or the settings allow.
-func (c *Core) tooFar(now time.Time, id job.ID) *fault.Fault {
+// checkDeadline returns a fault if the deadline is further away than operators or the
+// settings allow.
+func (c *Core) checkDeadline(now time.Time, id job.ID) *fault.Fault {
 	if id.Deadline.Sub(now) <= c.conf.maxTimeout {
 		return nil
 	}
 	f := fault.Input(fault.DeadlineTooFar, "id", "the deadline is more than "+c.conf.maxTimeout.String()+" away")
-	f.NotRun = false // a delayed copy could still be accepted, when the deadline is nearer
+	f.NotRun = false // a delayed copy can be accepted later, when the deadline is nearer
 	return f
 }
--- a/internal/owner/configure_test.go
+++ b/internal/owner/configure_test.go
@@ -21,21 +21,21 @@
 	RunSpecs(t, "owner")
 }
 
-// starts counts the starts sent to agents.
-type starts struct{ n int }
+// startCounter is an Outbox that counts the starts sent to agents.
+type startCounter struct{ n int }
 
-func (s *starts) Send(_ owner.ConnID, f *wire.ToAgent) { s.n += len(f.Starts) }
-func (s *starts) Close(owner.ConnID)                   {}
+func (s *startCounter) Send(_ owner.ConnID, f *wire.ToAgent) { s.n += len(f.Starts) }
+func (s *startCounter) Close(owner.ConnID)                   {}
 
 var _ = Describe("a configuration", func() {
 	now := time.Unix(1_000_000, 0)
 	key := job.Key("a key that only this test knows")
-	var sent *starts
+	var sent *startCounter
 	var core *owner.Core
 	var self job.Owner
 
 	BeforeEach(func() {
-		sent = &starts{}
+		sent = &startCounter{}
 		self = job.Owner{Incarnation: 7, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 		core = owner.New(owner.Options{Owner: self, Outbox: sent, Log: logr.Discard()})
 		core.Tick(now)
@@ -64,9 +64,9 @@
 		return &config.Change{Add: []config.Exception{{Kind: kind, Name: name, Key: "drain", Value: 1, Reason: "works", Author: "ops"}}}
 	}
 
-	// An operator drains a target, its rack or its data centre before work on the
-	// power lines. If the owner went on sending to it, tasks would be cut off.
-	DescribeTable("gives a drained target no new work, and work again when the drain is lifted",
+	// An operator drains a target, its rack or its data centre before work on the power
+	// lines. Tasks that the owner still sent to it would be aborted.
+	DescribeTable("sends no tasks to a drained target until the drain is lifted",
 		func(kind config.ScopeKind, name string) {
 			configure(drain(kind, name))
 			Expect(submit("one", 30*time.Second, 1)).To(Succeed())
@@ -80,13 +80,13 @@
 		Entry("data centre", config.ScopeDataCentre, "dc1"),
 	)
 
-	It("drains nothing of another name", func() {
+	It("does not drain a target by another name", func() {
 		configure(drain(config.ScopeTarget, "t2"))
 		Expect(submit("one", 30*time.Second, 1)).To(Succeed())
 		Expect(sent.n).To(Equal(1))
 	})
 
-	It("holds a team to its quota and others to the default", func() {
+	It("limits a team to its quota and other teams to the default", func() {
 		configure(&config.Change{Set: []config.Setting{{Key: "quota.team.a", Value: 3}, {Key: "quota.default", Value: 1}}})
 		Expect(submit("many", 30*time.Second, 8)).To(Succeed())
 		Expect(sent.n).To(Equal(3))
@@ -95,7 +95,7 @@
 		Expect(sent.n).To(Equal(5))
 	})
 
-	It("moves the farthest deadline and the number of ids", func() {
+	It("sets the limits of the deadline and of the number of ids", func() {
 		Expect(submit("far", 5*time.Minute, 1)).To(Succeed())
 		configure(&config.Change{Set: []config.Setting{{Key: "deadline.max_ms", Value: 60_000}, {Key: "admission.max_jobs", Value: 1}}})
 		Expect(submit("farther", 5*time.Minute, 1)).To(MatchError(fault.New(fault.DeadlineTooFar, "")))
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -1,17 +1,16 @@
-// Package owner is the control state of an entry: the submissions that this
+// Package owner implements the control state of an entry: the submissions that this
 // incarnation owns, the agents connected to it and the attempts sent to them.
 //
-// The state is a blackboard that small controllers read and write: intake lets
-// submissions in, dispatch starts tasks against credits, settle takes the agents'
-// reports, sessions follows connections and expire ends what is past its time.
-// All of them run on one goroutine, without a network and with the time handed
-// in, so a test can drive any order of events.
+// The state is shared by small controllers (blackboard pattern): intake accepts or refuses
+// submissions, dispatch starts tasks against credits, settle applies the agents' reports,
+// sessions tracks connections, and expire fails jobs past their deadline and removes old
+// state. All of them run on one goroutine, do no network I/O and get the current time as an
+// argument, so a test can produce any order of events.
 //
-// What it guarantees: a submission's tasks are started only here, each at most
-// once unless an agent proved that the attempt before did not run (or the caller
-// marked a single request idempotent); every accepted submission gets exactly one
-// final answer by its deadline. One that is complete is given until job.AnswerGrace
-// after it.
+// It guarantees that a submission's tasks are started only by its owner, each at most once
+// unless an agent has proved that the previous attempt did not run, or the caller marked a
+// single request as idempotent. Every accepted submission gets exactly one final answer by
+// its deadline. A complete answer can be fetched until job.AnswerGrace after the deadline.
 package owner
 
 import (
@@ -27,50 +26,49 @@
 // ConnID identifies one connection from an agent. It is never reused.
 type ConnID uint64
 
-// Outbox sends frames to agents. Neither method blocks.
+// Outbox sends frames to agents and closes their connections. Neither method blocks.
 type Outbox interface {
 	Send(conn ConnID, f *wire.ToAgent)
 	Close(conn ConnID)
 }
 
-// AnswerFunc receives a final answer. It is called once, on the control goroutine,
-// and must not block.
+// AnswerFunc receives a final answer. It is called once, on the control goroutine, and must
+// not block.
 type AnswerFunc func(job.Answer)
 
-// Policy selects how tasks reach targets.
+// Policy selects the order of the queue and the placement of tasks on targets.
 type Policy string
 
-// Policies. PolicyLeastWork is the product's; the others are baselines kept for
-// measurement.
+// Policies. PolicyLeastWork is the default; the others are baselines for measurements.
 const (
 	PolicyLeastWork  Policy = "least-work"  // credits, least remaining work first
-	PolicyFCFS       Policy = "first-come"  // credits, first come first served
+	PolicyFCFS       Policy = "first-come"  // credits, first come, first served
 	PolicyRandom     Policy = "random"      // push to a random target
 	PolicyTwoChoices Policy = "two-choices" // push to the less loaded of two
 )
 
-// Policies lists the policies that a setting may name.
+// Policies lists the values of the policy setting.
 var Policies = []Policy{PolicyLeastWork, PolicyFCFS, PolicyRandom, PolicyTwoChoices}
 
-// push reports whether the policy sends without a credit.
-func (p Policy) push() bool { return p == PolicyRandom || p == PolicyTwoChoices }
+// pushes reports whether the policy starts tasks without credits.
+func (p Policy) pushes() bool { return p == PolicyRandom || p == PolicyTwoChoices }
 
-// Defaults and bounds of an owner's memory.
+// Limits of an owner's state.
 const (
-	// DefaultMaxJobs bounds the ids held. At the design size one entry owns some 575
-	// submissions a second (docs/CAPACITY.md); with deadlines of 5 s and AnswerRetention
-	// that is about 11,500 ids. Ten times as many leaves room for a burst and, at 460
-	// bytes an id that has its answer, takes 55 MB beside MaxAnswerBytes: together
-	// within the 128 MB for control.
+	// DefaultMaxJobs limits the ids held. At the design size one entry owns about 575
+	// submissions per second (docs/CAPACITY.md); with deadlines of 5 s and AnswerRetention
+	// that is about 11,500 ids. The limit is ten times that, to absorb a burst. An id with
+	// its answer takes 460 bytes, so the ids take up to 55 MB; together with MaxAnswerBytes
+	// that is within the budget of 128 MB for control state.
 	DefaultMaxJobs = 120_000
-	// AnswerRetention is how long after its deadline an id is remembered. A complete
-	// answer is given for job.AnswerGrace only: another entry that could not reach
-	// this one may then tell the caller "failed, outcome unknown". What is kept
-	// longer are failures, and the knowledge that an id was never accepted.
+	// AnswerRetention is how long an id is kept after its deadline. A complete answer is
+	// given only until job.AnswerGrace after the deadline: from then on another entry that
+	// could not reach this one may tell the caller "failed, outcome unknown". Failures are
+	// given for the whole time, and an id that is missing during it was never accepted.
 	AnswerRetention = 15 * time.Second
-	// MaxAnswerBytes bounds the results kept for look-ups; the oldest go first.
+	// MaxAnswerBytes limits the results kept for look-ups; the oldest are evicted first.
 	MaxAnswerBytes = 48 << 20
-	// MaxStarts bounds the starts of an idempotent single request.
+	// MaxStarts limits the starts of an idempotent single request.
 	MaxStarts = 3
 )
 
@@ -80,22 +78,22 @@
 	Outbox     Outbox
 	Log        logr.Logger
 	Policy     Policy
-	LogEvery   int // one placement in so many is logged; 0: none
+	LogEvery   int // one placement in LogEvery is logged; 0: none
 	MaxJobs    int
-	MaxTimeout time.Duration // longest time to a deadline; 0 means 10 minutes
+	MaxTimeout time.Duration // longest time until a deadline; 0 means 10 minutes
 	DataCentre string
-	PeerAddrs  []string // other entries, passed on to agents
-	Seed       uint64   // for the push policies' draws; 0 is a seed too
+	PeerAddrs  []string // addresses of other entries, passed on to agents
+	Seed       uint64   // of the policies' random choices; 0 is a valid seed
 }
 
 // Core is the control state. Its methods are not safe for concurrent use.
 type Core struct {
-	board
+	sharedState
 	opts Options
 	log  logr.Logger
 }
 
-// New returns an empty core.
+// New returns a core without jobs or agents.
 func New(o Options) *Core {
 	if o.MaxJobs == 0 {
 		o.MaxJobs = DefaultMaxJobs
@@ -106,24 +104,26 @@
 	if o.Policy == "" {
 		o.Policy = PolicyLeastWork
 	}
-	c := &Core{board: newBoard(o), opts: o, log: o.Log}
-	c.configurePeers(o.PeerAddrs)
+	c := &Core{sharedState: newSharedState(o), opts: o, log: o.Log}
+	c.addConfiguredPeers(o.PeerAddrs)
 	return c
 }
 
-// Tick ends what is past its time and starts what can start. Call it every 10 ms.
+// Tick expires jobs, ids and agents, sheds jobs that would end too late, and starts waiting
+// tasks. Call it every 10 ms; less often is enough while Idle reports true.
 func (c *Core) Tick(now time.Time) {
-	if c.started.IsZero() {
-		c.started = now
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 	}
-	c.ticked = now
+	c.lastTick = now
 	c.expire(now)
 	c.expireAgents(now)
 	c.shed(now)
 	c.dispatch(now)
 }
 
-// Flush sends the frames gathered since the last call, at most one per agent.
+// Flush sends the frames accumulated since the last call, at most one to each agent. Frames
+// for disconnected agents are dropped.
 func (c *Core) Flush() {
 	c.publishDemand()
 	for _, a := range c.dirty {
@@ -140,15 +140,16 @@
 	c.dirty = c.dirty[:0]
 }
 
-// Drain stops taking new submissions; everything accepted goes on.
+// Drain refuses new submissions from now on and tells the agents that this entry is
+// leaving. Accepted submissions continue.
 func (c *Core) Drain(time.Time) {
 	if c.draining {
 		return
 	}
 	c.draining = true
 	event.Log(c.log, event.DrainStarted, "pending", c.pending)
-	c.tellLeaving()
+	c.announceLeaving()
 }
 
-// Idle reports whether every accepted submission has its answer.
+// Idle reports whether every accepted submission has its final answer.
 func (c *Core) Idle() bool { return c.pending == 0 }
--- a/internal/owner/demand.go
+++ b/internal/owner/demand.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// declinePause is how long no credits are asked of an agent after some came back
-	// unused although tasks wait: those are held for faster targets. Two owners that
-	// hold tasks would otherwise ask for the same slot in turn and give it back, a
-	// message each round trip. Half of the shortest usual task loses little should
-	// the slot be wanted after all.
-	declinePause = 25 * time.Millisecond
-	// rankStepMs is the change of the best rank that is worth a message of its own.
-	// The rank decides between owners only; being 100 ms off costs a task of the
-	// lower rank at most about that much.
-	rankStepMs = 100
-	// rankScan bounds how far into the ready queue a class's best rank is sought.
-	rankScan = 64
+	// demandPause is how long no credits are requested from an agent after unused ones were
+	// returned to it although tasks wait, because these are held for faster targets.
+	// Otherwise two owners that hold tasks would request and return the same slot in turn,
+	// one message per round trip. Half of the shortest usual task is a small loss if the slot
+	// is needed after all.
+	demandPause = 25 * time.Millisecond
+	// rankChangeMs is the change of the best rank that justifies a message of its own. The
+	// rank only decides between owners; an error of 100 ms delays the task that should go
+	// first by about that much at most.
+	rankChangeMs = 100
+	// maxRankScan limits the jobs at the head of the ready queue that are searched for the
+	// best rank of each class.
+	maxRankScan = 64
 )
 
-// publishDemand tells agents how much waits for them, where that has changed
-// enough to matter for the sharing of their slots, or where a frame goes out anyway.
+// publishDemand reports the owner's demand to each connected agent if it has changed enough
+// to affect the sharing of the agent's slots, or if a frame is sent to the agent anyway. The
+// push policies use no credits and report no demand.
 func (c *Core) publishDemand() {
-	if c.opts.Policy.push() {
+	if c.opts.Policy.pushes() {
 		return
 	}
 	ranks := c.bestRanks()
@@ -35,15 +37,17 @@
 			continue
 		}
 		a.demand = d
-		c.touch(a).Demand = &d
+		c.pendingFrame(a).Demand = &d
 	}
 }
 
+// demandFor returns the demand for credits of an agent: the number of waiting tasks that it
+// serves and the best rank among them.
 func (c *Core) demandFor(a *agent, ranks map[string]int64) wire.Demand {
 	d := wire.Demand{Returned: a.returned}
-	if a.credits() > 0 || c.ticked.Before(a.declinedUntil) {
-		// What could start here has started; the rest waits for other targets. Asking
-		// for it here would keep the agent from giving the slots to other owners.
+	if a.credits() > 0 || c.lastTick.Before(a.demandPausedUntil) {
+		// Tasks that could start here have started; the others wait for other targets.
+		// Demand for them would keep the agent from granting its slots to other owners.
 		return d
 	}
 	for class, n := range c.waitingTasks {
@@ -59,12 +63,13 @@
 		}
 		d.Waiting += n
 	}
-	// More than a few rounds of the agent's slots make no difference to it.
+	// Demand for more than a few times the agent's slots makes no difference to the agent.
 	d.Waiting = min(d.Waiting, 4*max(a.target.Slots, 1))
 	return d
 }
 
-// demandChanged ignores small changes: each costs a message to every agent.
+// demandChanged reports whether the demand has changed enough to be reported. Small changes
+// are ignored, because each would cost a message to every agent.
 func demandChanged(was, is wire.Demand) bool {
 	if (was.Waiting == 0) != (is.Waiting == 0) || was.Returned != is.Returned {
 		return true
@@ -73,11 +78,11 @@
 		return false
 	}
 	change := is.RankMs - was.RankMs
-	return is.Waiting < was.Waiting/2 || is.Waiting > was.Waiting*2 || change > rankStepMs || change < -rankStepMs
+	return is.Waiting < was.Waiting/2 || is.Waiting > was.Waiting*2 || change > rankChangeMs || change < -rankChangeMs
 }
 
-// bestRanks returns the lowest rank of each class among the head of the queue;
-// under "" it holds the highest rank seen, for classes further back.
+// bestRanks returns the lowest rank of each class among the first maxRankScan jobs of the
+// queue. The key "" has the highest rank among them, for classes that are only further back.
 func (c *Core) bestRanks() map[string]int64 {
 	ranks := map[string]int64{}
 	seen := 0
@@ -90,7 +95,7 @@
 			ranks[""] = rank
 		}
 		seen++
-		return seen < rankScan
+		return seen < maxRankScan
 	})
 	return ranks
 }
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -12,107 +12,109 @@
 )
 
 const (
-	// maxSetAside bounds how many jobs that can't start now are looked past for one
-	// that can: a head of the queue that waits for a rare class must not block the
-	// others, and a long queue of such jobs must not cost a scan on every event.
-	maxSetAside = 64
-	// maxHeldJobs bounds how many jobs with a task that waits for a faster target are
-	// looked past. In trials 4 do as well as 32; each costs a look over all targets.
+	// maxSkippedJobs limits the jobs that one dispatch skips because they can't start now. A
+	// job at the head of the queue that waits for a rare class must not block the others,
+	// and a long queue of such jobs must not cost a full scan on every event.
+	maxSkippedJobs = 64
+	// maxHeldJobs limits the skipped jobs with a task that is held for a faster target. In
+	// trials, 4 performed as well as 32; each costs a comparison of all targets.
 	maxHeldJobs = 8
-	// maxHeld bounds how many tasks of one job are looked past because they wait for
-	// a faster target.
-	maxHeld = 2
+	// maxHeldTasks limits the tasks of one job that are skipped because they are held for a
+	// faster target.
+	maxHeldTasks = 2
 )
 
-// dispatch starts waiting tasks while there is room for them. It ends jobs past
-// their deadline first: an owner that was paused hears of free slots before its
-// next tick, and would send out work that every agent turns away as late.
+// dispatch starts waiting tasks while targets have free capacity. It fails jobs past their
+// deadline first: an owner whose process was paused can receive credits before its next
+// tick, and would send tasks that every agent rejects as late.
 func (c *Core) dispatch(now time.Time) {
 	c.expire(now)
 	if c.ready.Len() == 0 {
 		return
 	}
-	c.view(now)
-	var aside []*liveJob
+	c.collectCandidates(now)
+	var skipped []*liveJob
 	held := 0
-	for c.ready.Len() > 0 && len(aside) < maxSetAside && held < maxHeldJobs && c.anyRoom() {
+	for c.ready.Len() > 0 && len(skipped) < maxSkippedJobs && held < maxHeldJobs && c.anyCandidateAvailable() {
 		l := c.ready.Min().Value
-		if c.startFrom(now, l) {
+		if c.startTasks(now, l) {
 			held++
 		}
-		if l.place.Queued() {
-			c.ready.Remove(l.place)
-			aside = append(aside, l)
+		if l.queueItem.Queued() {
+			c.ready.Remove(l.queueItem)
+			skipped = append(skipped, l)
 		}
 	}
-	for _, l := range aside {
-		c.enqueue(l)
+	for _, l := range skipped {
+		c.updateReadyQueue(l)
 	}
 }
 
-// anyRoom reports whether some candidate may take a task.
-func (c *Core) anyRoom() bool {
+// anyCandidateAvailable reports whether a task can be sent to some candidate.
+func (c *Core) anyCandidateAvailable() bool {
 	for i := range c.candidates {
-		if c.opts.Policy.push() || c.candidates[i].Credits > 0 {
+		if c.opts.Policy.pushes() || c.candidates[i].Credits > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// startFrom starts as many tasks of the job as there is room for, longest first:
-// the longest decides when the job ends, so it gets the first choice of targets.
-// It reports whether a task waits for a faster target.
-func (c *Core) startFrom(now time.Time, l *liveJob) (holds bool) {
+// startTasks starts as many tasks of the job as there is capacity for, longest first: the
+// longest determines when the job ends, so it gets the first choice of targets. It reports
+// whether a task is held for a faster target.
+func (c *Core) startTasks(now time.Time, l *liveJob) (heldForFaster bool) {
 	slackMs := l.slackMs(now)
 	held := 0
-	for i := len(l.waiting) - 1; i >= 0 && held < maxHeld; i-- {
+	for i := len(l.waiting) - 1; i >= 0 && held < maxHeldTasks; i-- {
 		if !c.limiter.MayStart(l.sub.Team) {
 			break
 		}
-		choice := placement.Choose(c.taskView(now, l, l.waiting[i], slackMs), c.candidates, c.placing)
+		choice := placement.Choose(c.placementTask(now, l, l.waiting[i], slackMs), c.candidates, c.placementOptions)
 		if choice.Index == placement.None {
 			held++
 			if choice.Reason != placement.HeldForFaster {
 				break
 			}
-			holds = true
+			heldForFaster = true
 			event.Log(c.log.V(logging.LevelDebug), event.TaskHeld, "job", l.sub.ID.String(), "task", l.waiting[i],
-				"for", c.viewed[choice.RunnerUp].worker)
+				"for", c.candidateAgents[choice.RunnerUp].worker)
 			continue
 		}
 		task := l.waiting[i]
 		l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
 		slackMs = max(slackMs, choice.EndMs)
-		c.start(now, l, task, choice)
+		c.startTask(now, l, task, choice)
 	}
-	c.enqueue(l)
-	return holds
+	c.updateReadyQueue(l)
+	return heldForFaster
 }
 
-func (c *Core) start(now time.Time, l *liveJob, task int, choice placement.Choice) {
-	a := c.viewed[choice.Index]
+// startTask records a new attempt at the chosen agent, spends a credit and adds the start to
+// the agent's pending frame.
+func (c *Core) startTask(now time.Time, l *liveJob, task int, choice placement.Choice) {
+	a := c.candidateAgents[choice.Index]
 	seq := c.nextSeq
 	c.nextSeq++
 	t := &l.sub.Tasks[task]
 	l.tasks[task].state = taskSent
-	l.tasks[task].tries++
+	l.tasks[task].starts++
 	l.mayHaveRun = true
-	at := &attempt{seq: seq, agent: a, live: l, task: task, sentAt: now,
-		endsAt: now.Add(clock.FromMillis(choice.EndMs)), team: l.sub.Team,
+	at := &attempt{seq: seq, agent: a, job: l, task: task, sentAt: now,
+		expectedEnd: now.Add(clock.FromMillis(choice.EndMs)), team: l.sub.Team,
 		class: l.sub.Class, estimateMs: l.tasks[task].estimateMs, declaredMs: t.EstimateMs, demand: t.Demand}
 	a.attempts[seq] = at
-	a.order = append(a.order, seq)
+	a.attemptSeqs = append(a.attemptSeqs, seq)
 	a.inUse = a.inUse.Add(t.Demand)
 	l.tasks[task].attempt = at
-	if !c.opts.Policy.push() {
+	if !c.opts.Policy.pushes() {
 		a.spent++
 	}
 	c.candidates[choice.Index] = c.candidate(now, a)
 	c.limiter.Started(l.sub.Team)
-	c.countWaiting(l, -1)
+	c.addWaiting(l, -1)
 	c.counts.Starts++
-	out := c.touch(a)
+	out := c.pendingFrame(a)
 	out.Starts = append(out.Starts, wire.Start{
 		Seq:        seq,
 		Job:        l.sub.ID.String(),
@@ -127,43 +129,44 @@
 	c.logPlacement(l, task, at, choice)
 }
 
+// logPlacement logs one placement in Options.LogEvery.
 func (c *Core) logPlacement(l *liveJob, task int, at *attempt, choice placement.Choice) {
 	if c.opts.LogEvery == 0 || c.counts.Starts%uint64(c.opts.LogEvery) != 0 {
 		return
 	}
 	runnerUp := ""
 	if choice.RunnerUp != placement.None {
-		runnerUp = c.viewed[choice.RunnerUp].worker
+		runnerUp = c.candidateAgents[choice.RunnerUp].worker
 	}
 	event.Log(c.log, event.TaskPlaced, "job", l.sub.ID.String(), "task", task, "attempt", at.seq,
 		"worker", at.agent.worker, "reason", choice.Reason.String(), "runner_up", runnerUp,
 		"estimate_ms", at.estimateMs, "rank", l.rank)
 }
 
-// countWaiting keeps the sums of waiting tasks by class and by team.
-func (c *Core) countWaiting(l *liveJob, by int) {
-	if c.waitingTasks[l.sub.Class] += by; c.waitingTasks[l.sub.Class] == 0 {
+// addWaiting adds to the numbers of waiting tasks of the job's class and team.
+func (c *Core) addWaiting(l *liveJob, delta int) {
+	if c.waitingTasks[l.sub.Class] += delta; c.waitingTasks[l.sub.Class] == 0 {
 		delete(c.waitingTasks, l.sub.Class)
 	}
 	team := c.team(l.sub.Team)
-	team.waiting += by
+	team.waiting += delta
 	c.limiter.SetWaiting(l.sub.Team, team.waiting)
 }
 
-// enqueue puts a job with waiting tasks into the ready queue, moves it there after
-// its rank changed, or takes it out when nothing of it waits.
-func (c *Core) enqueue(l *liveJob) {
-	l.rank = c.order.Rank(queueing.Job{
+// updateReadyQueue recomputes the rank of a job. It inserts a job with waiting tasks into
+// the ready queue or moves it there, and removes a job without.
+func (c *Core) updateReadyQueue(l *liveJob) {
+	l.rank = c.queuePolicy.Rank(queueing.Job{
 		RemainingMs: l.remainingMs, LongestMs: l.longestMs, Arrived: l.accepted, Deadline: l.sub.ID.Deadline,
 	})
-	queued := l.place != nil && l.place.Queued()
+	queued := l.queueItem != nil && l.queueItem.Queued()
 	switch {
 	case len(l.waiting) == 0 && queued:
-		c.ready.Remove(l.place)
+		c.ready.Remove(l.queueItem)
 	case len(l.waiting) == 0:
 	case queued:
-		c.ready.Fix(l.place, l.rank)
+		c.ready.Fix(l.queueItem, l.rank)
 	default:
-		l.place = c.ready.Push(l, l.rank)
+		l.queueItem = c.ready.Push(l, l.rank)
 	}
 }
--- a/internal/owner/late_test.go
+++ b/internal/owner/late_test.go
@@ -11,29 +11,30 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// lateCase is one owner with one agent that succeeds at once.
-type lateCase struct {
+// answerFixture is an owner with one agent on which every task succeeds immediately.
+type answerFixture struct {
 	g    *WithT
 	core *Core
-	out  *echo
+	out  *echoOutbox
 	now  time.Time
 	last int
 }
 
-func newLateCase(t *testing.T) *lateCase {
+func newAnswerFixture(t *testing.T) *answerFixture {
 	core, out := newBenchCore(1)
-	return &lateCase{g: NewWithT(t), core: core, out: out, now: time.UnixMilli(1_800_000_000_000)}
+	return &answerFixture{g: NewWithT(t), core: core, out: out, now: time.UnixMilli(1_800_000_000_000)}
 }
 
-// complete submits a job that ends before its deadline, a second from now.
-func (l *lateCase) complete(w AnswerFunc) job.ID {
+// submitAndComplete submits a job with a deadline in a second and completes it. If callback
+// is nil, the caller stops waiting before the job ends.
+func (l *answerFixture) submitAndComplete(callback AnswerFunc) job.ID {
 	l.last++
 	id, err := job.NewID(l.core.opts.Owner.Token(benchKey), l.now.Add(time.Second), fmt.Sprint(l.last), benchKey)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	s := &job.Submission{ID: id, Team: "a", Class: "x", Tasks: make([]job.Task, 1)}
-	stop, err := l.core.Submit(l.now, s, w)
+	stop, err := l.core.Submit(l.now, s, callback)
 	l.g.Expect(err).NotTo(HaveOccurred())
-	if w == nil {
+	if callback == nil {
 		stop()
 	}
 	l.core.Flush()
@@ -45,93 +46,95 @@
 	return id
 }
 
-// abandoned submits a job whose caller stops waiting before it ends.
-func (l *lateCase) abandoned() job.ID { return l.complete(nil) }
+// submitWithoutWaiting submits and completes a job whose caller stops waiting before it ends.
+func (l *answerFixture) submitWithoutWaiting() job.ID { return l.submitAndComplete(nil) }
 
-// ask looks an answer up after the deadline.
-func (l *lateCase) ask(id job.ID, late time.Duration) (answer job.Answer, err error) {
+// await looks up an answer at the given time past the deadline.
+func (l *answerFixture) await(id job.ID, late time.Duration) (answer job.Answer, err error) {
 	now := id.Deadline.Add(late)
 	l.core.Tick(now)
 	_, err = l.core.Await(now, id, func(a job.Answer) { answer = a })
 	return answer, err
 }
 
-const justInTime = job.AnswerGrace - time.Millisecond
+const justBeforeExpiry = job.AnswerGrace - time.Millisecond
 
-// Guards against results of a job that ended in time being lost past its deadline.
+// Guards against the loss of the results of a job that ended in time, once its deadline has
+// passed.
 func TestCompleteAnswerIsGivenAfterTheDeadline(t *testing.T) {
-	l := newLateCase(t)
-	for _, late := range []time.Duration{0, justInTime} {
-		answer, err := l.ask(l.abandoned(), late)
+	l := newAnswerFixture(t)
+	for _, late := range []time.Duration{0, justBeforeExpiry} {
+		answer, err := l.await(l.submitWithoutWaiting(), late)
 		l.g.Expect(err).NotTo(HaveOccurred())
 		l.g.Expect(answer.State).To(Equal(job.Complete), "%s past the deadline", late)
 		l.g.Expect(answer.Results).To(Equal([][]byte{[]byte("result")}))
 	}
 }
 
-// Guards against a caller being told that an answer was given which nobody got.
-func TestAnswerThatNobodyWasGivenBecomesAnUnknownOutcome(t *testing.T) {
-	l := newLateCase(t)
-	id := l.abandoned()
+// Guards against a caller being told that the answer was given although no caller got it.
+func TestUndeliveredAnswerBecomesUnknownOutcome(t *testing.T) {
+	l := newAnswerFixture(t)
+	id := l.submitWithoutWaiting()
 	for _, late := range []time.Duration{job.AnswerGrace, AnswerRetention - time.Millisecond} {
-		answer, err := l.ask(id, late)
+		answer, err := l.await(id, late)
 		l.g.Expect(err).NotTo(HaveOccurred())
 		l.g.Expect(answer.State).To(Equal(job.Failed))
 		l.g.Expect(answer.Failure.Code).To(Equal(fault.OutcomeUnknown))
 		l.g.Expect(answer.Failure.NotRun).To(BeFalse())
 		l.g.Expect(answer.Results).To(BeEmpty())
 	}
-	_, err := l.ask(id, AnswerRetention)
+	_, err := l.await(id, AnswerRetention)
 	l.g.Expect(err).To(MatchError(fault.New(fault.AnswerExpired, "")))
 }
 
-// Guards against "outcome unknown" after somebody was told "complete".
-func TestAnswerThatWasGivenExpires(t *testing.T) {
-	l := newLateCase(t)
-	given := l.complete(func(job.Answer) {})
-	_, err := l.ask(given, job.AnswerGrace)
+// Guards against an unknown outcome being answered after a caller got the complete answer.
+func TestDeliveredAnswerExpires(t *testing.T) {
+	l := newAnswerFixture(t)
+	given := l.submitAndComplete(func(job.Answer) {})
+	_, err := l.await(given, job.AnswerGrace)
 	l.g.Expect(err).To(MatchError(fault.New(fault.AnswerExpired, "")))
 
-	lookedUp := l.abandoned()
-	_, err = l.ask(lookedUp, justInTime)
+	lookedUp := l.submitWithoutWaiting()
+	_, err = l.await(lookedUp, justBeforeExpiry)
 	l.g.Expect(err).NotTo(HaveOccurred())
-	_, err = l.ask(lookedUp, job.AnswerGrace)
+	_, err = l.await(lookedUp, job.AnswerGrace)
 	l.g.Expect(err).To(MatchError(fault.New(fault.AnswerExpired, "")))
 }
 
-// Guards against results counting as given that an entry could not pass on in time.
-func TestWithheldAnswerCountsAsNotGiven(t *testing.T) {
-	l := newLateCase(t)
-	id := l.complete(func(job.Answer) {})
+// Guards against an answer counting as given that the entry could not pass on in time.
+func TestAnswerMarkedUndeliveredCountsAsNotGiven(t *testing.T) {
+	l := newAnswerFixture(t)
+	id := l.submitAndComplete(func(job.Answer) {})
 	l.core.MarkUndelivered(id)
-	answer, err := l.ask(id, job.AnswerGrace)
+	answer, err := l.await(id, job.AnswerGrace)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	l.g.Expect(answer.Failure.Code).To(Equal(fault.OutcomeUnknown))
 
-	twice := l.complete(func(job.Answer) {})
-	_, err = l.ask(twice, 0)
+	twice := l.submitAndComplete(func(job.Answer) {})
+	_, err = l.await(twice, 0)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	l.core.MarkUndelivered(twice)
-	_, err = l.ask(twice, job.AnswerGrace)
-	l.g.Expect(err).To(MatchError(fault.New(fault.AnswerExpired, "")), "the other caller has it")
+	_, err = l.await(twice, job.AnswerGrace)
+	l.g.Expect(err).To(MatchError(fault.New(fault.AnswerExpired, "")), "the answer was given to the other caller")
 }
 
-// Guards against results counting as given that were dropped before anybody fetched them.
-func TestEvictedAnswerThatNobodyWasGivenBecomesAnUnknownOutcome(t *testing.T) {
-	l := newLateCase(t)
-	id := l.abandoned()
+// Guards against results counting as given that were evicted before any caller got them.
+func TestEvictedUndeliveredAnswerBecomesUnknownOutcome(t *testing.T) {
+	l := newAnswerFixture(t)
+	id := l.submitWithoutWaiting()
 	r := l.core.jobs[id.String()]
-	l.core.kept += MaxAnswerBytes // as if others filled the memory
-	l.complete(func(job.Answer) {})
+	l.core.retainedBytes += MaxAnswerBytes // as if other results filled the memory
+	l.submitAndComplete(func(job.Answer) {})
 	l.g.Expect(r.evicted).To(BeTrue())
-	answer, err := l.ask(id, -time.Millisecond)
+	answer, err := l.await(id, -time.Millisecond)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	l.g.Expect(answer.Failure.Code).To(Equal(fault.OutcomeUnknown))
 }
 
-// Guards against a job ending as complete after its deadline, in a process that wakes.
+// Guards against a job ending as complete after its deadline, when a process that was frozen
+// receives the last report on resuming.
 func TestResultAfterTheDeadlineCompletesNothing(t *testing.T) {
-	l := newLateCase(t)
+	l := newAnswerFixture(t)
 	id, err := job.NewID(l.core.opts.Owner.Token(benchKey), l.now.Add(time.Second), "frozen", benchKey)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	var answer job.Answer
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -9,20 +9,20 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// maxPeers bounds how many entries are passed on: a few thin hosts exist.
+// maxPeers limits the entries that are passed on to agents. There are only a few thin hosts.
 const maxPeers = 64
 
-// peer is another entry that was named to this one.
+// peer is another entry that this one knows.
 type peer struct {
 	wire.Peer
-	configured bool
-	heard      time.Time // when it was last named
+	configured bool      // from the settings
+	lastSeen   time.Time // when it was last reported to be up
 }
 
-// peers are the other entries, in the order in which they were learned.
+// peers holds the other entries, in the order in which they became known.
 type peers struct{ known []*peer }
 
-// list returns them as they are passed on.
+// list returns the entries in the form in which they are passed on.
 func (p *peers) list() []wire.Peer {
 	list := make([]wire.Peer, len(p.known))
 	for i, known := range p.known {
@@ -31,20 +31,21 @@
 	return list
 }
 
-// hear notes an entry and reports whether that was news.
-func (p *peers) hear(now time.Time, named wire.Peer, configured bool) bool {
+// update adds an entry or refreshes a known one, and reports whether it is new or its data
+// centre has changed. At maxPeers a new entry replaces an old one.
+func (p *peers) update(now time.Time, reported wire.Peer, configured bool) bool {
 	for _, known := range p.known {
-		if known.Addr != named.Addr {
+		if known.Addr != reported.Addr {
 			continue
 		}
-		known.heard = now
-		if named.DataCentre == "" || named.DataCentre == known.DataCentre {
+		known.lastSeen = now
+		if reported.DataCentre == "" || reported.DataCentre == known.DataCentre {
 			return false
 		}
-		known.DataCentre = named.DataCentre
+		known.DataCentre = reported.DataCentre
 		return true
 	}
-	added := &peer{Peer: named, configured: configured, heard: now}
+	added := &peer{Peer: reported, configured: configured, lastSeen: now}
 	if len(p.known) < maxPeers {
 		p.known = append(p.known, added)
 		return true
@@ -52,14 +53,15 @@
 	return p.replaceOldest(added)
 }
 
-// replaceOldest puts an entry in the place of the one that was not named for the
-// longest time. Entries' hosts are replaced all the time; without this, the
-// addresses of those that are gone would fill the list, and a new entry would get
-// agents only from those that are told of it by hand.
+// replaceOldest replaces the entry that has not been reported for the longest time, except
+// for configured ones, and reports whether there was one to replace. The hosts of entries
+// are replaced continually; without this, the addresses of removed ones would fill the list,
+// and a new entry would only get connections from agents that are configured with its
+// address.
 func (p *peers) replaceOldest(added *peer) bool {
 	oldest := -1
 	for i, known := range p.known {
-		if !known.configured && (oldest < 0 || known.heard.Before(p.known[oldest].heard)) {
+		if !known.configured && (oldest < 0 || known.lastSeen.Before(p.known[oldest].lastSeen)) {
 			oldest = i
 		}
 	}
@@ -69,54 +71,54 @@
 	return oldest >= 0
 }
 
-// configurePeers takes the entries from the settings.
-func (c *Core) configurePeers(addrs []string) {
+// addConfiguredPeers adds the entries from the settings.
+func (c *Core) addConfiguredPeers(addrs []string) {
 	for _, addr := range addrs {
 		if addr != c.opts.Owner.Addr.String() {
-			c.peers.hear(time.Time{}, wire.Peer{Addr: addr}, true)
+			c.peers.update(time.Time{}, wire.Peer{Addr: addr}, true)
 		}
 	}
 }
 
-// Peers returns the other entries that this one knows: from its settings, and as they were
-// named to it. Some may be gone.
+// Peers returns the other entries that this one knows, from its settings and from AddPeers
+// and the agents. Some may no longer exist.
 func (c *Core) Peers() []wire.Peer { return c.peers.list() }
 
-// AddPeers takes the names of other entries that are up.
-func (c *Core) AddPeers(now time.Time, named []wire.Peer) { c.learn(now, named) }
+// AddPeers adds other entries that are reported to be up.
+func (c *Core) AddPeers(now time.Time, reported []wire.Peer) { c.addPeers(now, reported) }
 
-// learn adds entries that are up and tells the connected agents
-// what is new. This is how entries and agents find each other behind the balancer
-// without a list or a coordination service.
-func (c *Core) learn(now time.Time, named []wire.Peer) {
-	var news []wire.Peer
-	for _, p := range named {
-		if !wellFormed(p) || p.Addr == c.opts.Owner.Addr.String() || !c.peers.hear(now, p, false) {
+// addPeers adds entries that are reported to be up and passes new ones on to the connected
+// agents. This is how entries and agents discover each other behind the load balancer
+// without a configured list or a coordination service.
+func (c *Core) addPeers(now time.Time, reported []wire.Peer) {
+	var added []wire.Peer
+	for _, p := range reported {
+		if !validPeer(p) || p.Addr == c.opts.Owner.Addr.String() || !c.peers.update(now, p, false) {
 			continue
 		}
-		news = append(news, p)
+		added = append(added, p)
 		event.Log(c.log, event.PeerLearned, "entry", p.Addr, "data_centre", p.DataCentre)
 	}
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
 	for _, a := range c.byConn {
-		out := c.touch(a)
-		out.Entries = append(out.Entries, news...)
+		out := c.pendingFrame(a)
+		out.Entries = append(out.Entries, added...)
 	}
 }
 
-// wellFormed reports whether an entry can be passed on: what one broken agent names
-// would else reach every agent and push real entries out of the list.
-func wellFormed(p wire.Peer) bool {
+// validPeer reports whether an entry can be passed on. Without this check, invalid entries
+// from one faulty agent would reach every agent and displace real entries from the list.
+func validPeer(p wire.Peer) bool {
 	addr, err := netip.ParseAddrPort(p.Addr)
 	return err == nil && addr.Port() != 0 && len(p.DataCentre) <= job.MaxNameBytes
 }
 
-// tellLeaving lets the connected agents look for other entries while this one
-// still finishes what it has.
-func (c *Core) tellLeaving() {
+// announceLeaving tells the connected agents that this entry is leaving, so that they connect
+// to other entries while this one completes its jobs.
+func (c *Core) announceLeaving() {
 	for _, a := range c.byConn {
-		c.touch(a).Leaving = true
+		c.pendingFrame(a).Leaving = true
 	}
 }
--- a/internal/owner/peers_test.go
+++ b/internal/owner/peers_test.go
@@ -11,9 +11,10 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Entries' hosts are replaced for weeks, each time under a new address. Were the
-// old ones kept, the list would be full one day, and a new entry would get no agents.
-func TestNewEntriesReplaceThoseThatAreNoLongerNamed(t *testing.T) {
+// Guards against a list full of addresses of removed entries: the hosts of entries are
+// replaced over weeks, each time with a new address. No agent would then connect to a new
+// entry.
+func TestNewEntriesReplaceThoseNoLongerReported(t *testing.T) {
 	g := NewWithT(t)
 	c := New(Options{Log: logr.Discard(), PeerAddrs: []string{"10.9.9.9:7400"}})
 	start := time.UnixMilli(1_800_000_000_000)
--- a/internal/owner/sessions.go
+++ b/internal/owner/sessions.go
@@ -10,25 +10,27 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// ProtocolError is a frame that breaks the protocol; the connection is closed.
+// ProtocolError reports a frame that violates the protocol. The connection must be closed.
 type ProtocolError struct{ Violation string }
 
 // Error implements error.
-func (e *ProtocolError) Error() string { return "protocol: " + e.Violation }
+func (e *ProtocolError) Error() string { return "protocol violation: " + e.Violation }
 
-func breach(what string) error { return errors.WithStack(&ProtocolError{Violation: what}) }
+func protocolError(violation string) error {
+	return errors.WithStack(&ProtocolError{Violation: violation})
+}
 
-// Connect takes an agent's Hello. A new connection of a known incarnation takes
-// over from the older one: credits start again at zero and every open attempt is
-// asked about, because a start may have been lost with the old connection. Another
-// incarnation of the same worker proves the former one dead.
+// Connect handles the Hello of an agent's new connection. For a known incarnation the new
+// connection replaces the previous one: credits restart at zero, and the agent is queried
+// about every open attempt, because a start may have been lost with the previous connection.
+// A new incarnation of a worker proves that the previous incarnation has ended.
 func (c *Core) Connect(now time.Time, conn ConnID, h *wire.Hello) {
-	c.learn(now, h.Entries)
+	c.addPeers(now, h.Entries)
 	a, known := c.agents[h.Incarnation]
 	if !known {
 		a = &agent{incarnation: h.Incarnation, worker: h.Worker, attempts: map[uint64]*attempt{}}
 		c.addAgent(a)
-		c.replaceWorker(now, a)
+		c.replaceIncarnation(now, a)
 	}
 	if a.conn != 0 {
 		event.Log(c.log, event.SessionReplaced, "worker", a.worker, "conn", uint64(conn))
@@ -37,12 +39,12 @@
 	}
 	a.conn, a.lastSeen = conn, now
 	a.dataCentre, a.rack, a.target = h.DataCentre, h.Rack, h.Target
-	c.configureAgent(a)
+	c.updateDrained(a)
 	a.granted, a.spent, a.returned = 0, 0, 0
 	a.demand = wire.Demand{}
 	a.out = wire.ToAgent{}
 	c.byConn[conn] = a
-	out := c.touch(a)
+	out := c.pendingFrame(a)
 	out.Welcome = &wire.Welcome{
 		Version:     wire.Version,
 		Incarnation: c.opts.Owner.Incarnation,
@@ -51,16 +53,16 @@
 		DataCentre:  c.opts.DataCentre,
 		Leaving:     c.draining,
 	}
-	out.Queries = a.open()
-	out.Cancels = a.abandoned()
+	out.Queries = a.openAttempts()
+	out.Cancels = a.cancelledAttempts()
 	event.Log(c.log, event.SessionOpened, "worker", a.worker, "incarnation", a.incarnation.String(),
 		"target", a.target.Name, "open_attempts", len(out.Queries))
 }
 
-// open returns the numbers of the attempts that are not settled, rising.
-func (a *agent) open() []uint64 {
+// openAttempts returns the sequence numbers of the unsettled attempts, in ascending order.
+func (a *agent) openAttempts() []uint64 {
 	var open []uint64
-	for _, seq := range a.order {
+	for _, seq := range a.attemptSeqs {
 		if _, ok := a.attempts[seq]; ok {
 			open = append(open, seq)
 		}
@@ -68,91 +70,97 @@
 	return open
 }
 
-// abandoned returns the open attempts whose outcome no longer matters; they are
-// cancelled again, since the first cancellation may have been lost.
-func (a *agent) abandoned() []uint64 {
+// cancelledAttempts returns the sequence numbers of the open attempts that were cancelled.
+// They are cancelled again on a new connection, since the first cancellation may have been
+// lost.
+func (a *agent) cancelledAttempts() []uint64 {
 	var seqs []uint64
-	for _, seq := range a.open() {
-		if a.attempts[seq].live == nil {
+	for _, seq := range a.openAttempts() {
+		if a.attempts[seq].job == nil {
 			seqs = append(seqs, seq)
 		}
 	}
 	return seqs
 }
 
-func (c *Core) replaceWorker(now time.Time, a *agent) {
-	former := c.byWorker[a.worker]
+// replaceIncarnation registers a as the agent of its worker. An earlier incarnation of the
+// worker has ended: it is removed, and the outcome of its open attempts is unknown, so their
+// tasks are retried or their jobs fail.
+func (c *Core) replaceIncarnation(now time.Time, a *agent) {
+	previous := c.byWorker[a.worker]
 	c.byWorker[a.worker] = a
-	if former == nil {
+	if previous == nil {
 		return
 	}
-	if former.conn != 0 {
-		delete(c.byConn, former.conn)
-		c.opts.Outbox.Close(former.conn)
-		former.conn = 0
-	}
-	event.Log(c.log, event.AgentGone, "worker", a.worker, "incarnation", former.incarnation.String(),
-		"open_attempts", len(former.attempts))
-	for _, seq := range former.open() {
-		at := former.attempts[seq]
-		c.close(at)
-		if at.live == nil {
+	if previous.conn != 0 {
+		delete(c.byConn, previous.conn)
+		c.opts.Outbox.Close(previous.conn)
+		previous.conn = 0
+	}
+	event.Log(c.log, event.AgentGone, "worker", a.worker, "incarnation", previous.incarnation.String(),
+		"open_attempts", len(previous.attempts))
+	for _, seq := range previous.openAttempts() {
+		at := previous.attempts[seq]
+		c.closeAttempt(at)
+		if at.job == nil {
 			continue
 		}
-		at.live.tasks[at.task].attempt = nil
-		c.retryOrFail(now, at.live, at.task, fault.Newf(fault.OutcomeUnknown, "task %d: the agent on %s ended", at.task, a.worker))
+		at.job.tasks[at.task].attempt = nil
+		c.retryOrFail(now, at.job, at.task, fault.Newf(fault.OutcomeUnknown, "task %d: the agent on %s ended", at.task, a.worker))
 	}
-	c.removeAgent(former)
+	c.removeAgent(previous)
 	c.byWorker[a.worker] = a
 }
 
-// Receive takes a frame of an agent. After an error the caller closes the connection.
+// Receive handles a frame from an agent. After an error, a *ProtocolError, the caller must
+// close the connection.
 func (c *Core) Receive(now time.Time, conn ConnID, f *wire.ToEntry) error {
 	a, ok := c.byConn[conn]
 	if !ok {
-		return breach("a frame before hello, or on a connection that was replaced")
+		return protocolError("frame before hello, or on a replaced connection")
 	}
 	a.lastSeen = now
 	if f.Hello != nil {
-		return breach("a second hello")
+		return protocolError("second hello on a connection")
 	}
-	c.learn(now, f.Entries)
+	c.addPeers(now, f.Entries)
 	if f.Target != nil {
 		a.target = *f.Target
-		c.configureAgent(a)
+		c.updateDrained(a)
 	}
-	if err := c.credit(now, a, f.Credits); err != nil {
+	if err := c.applyCredits(now, a, f.Credits); err != nil {
 		return err
 	}
 	for i := range f.Reports {
-		c.settle(now, a, &f.Reports[i])
+		c.handleReport(now, a, &f.Reports[i])
 	}
 	c.dispatch(now)
 	return nil
 }
 
-// credit applies a grant and gives back what the agent recalls.
-func (c *Core) credit(now time.Time, a *agent, k *wire.Credits) error {
-	if k == nil {
+// applyCredits applies a grant of credits and returns unspent credits that the agent
+// recalls.
+func (c *Core) applyCredits(now time.Time, a *agent, grant *wire.Credits) error {
+	if grant == nil {
 		return nil
 	}
-	a.owners = k.Owners
-	if k.Total < a.granted {
-		return breach("credits went back")
+	a.ownerCount = grant.Owners
+	if grant.Total < a.granted {
+		return protocolError("the total of granted credits decreased")
 	}
-	if k.Total > a.granted {
-		a.gap.ObserveGrant(int(k.Total-a.granted), now)
+	if grant.Total > a.granted {
+		a.creditInterval.ObserveGrant(int(grant.Total-a.granted), now)
 	}
-	a.granted = k.Total
-	if back := min(k.Recall, a.credits()); back > 0 {
-		a.returned += uint64(back)
-		a.declinedUntil = now.Add(declinePause)
+	a.granted = grant.Total
+	if returned := min(grant.Recall, a.credits()); returned > 0 {
+		a.returned += uint64(returned)
+		a.demandPausedUntil = now.Add(demandPause)
 	}
 	return nil
 }
 
-// Disconnect notes that a connection ended. Open attempts stay as they are: the
-// agent may be alive and running them. Only an idempotent request goes elsewhere.
+// Disconnect handles the end of a connection. Open attempts stay open, because the agent may
+// still be running them; only an idempotent request is retried immediately.
 func (c *Core) Disconnect(now time.Time, conn ConnID) {
 	a, ok := c.byConn[conn]
 	if !ok {
@@ -162,11 +170,11 @@
 	a.conn, a.lastSeen = 0, now
 	a.granted, a.spent, a.returned = 0, 0, 0
 	event.Log(c.log, event.SessionClosed, "worker", a.worker, "open_attempts", len(a.attempts))
-	for _, seq := range a.open() {
+	for _, seq := range a.openAttempts() {
 		at := a.attempts[seq]
-		if at.live != nil && at.live.sub.Idempotent {
-			l := at.live
-			c.abandon(at)
+		if at.job != nil && at.job.sub.Idempotent {
+			l := at.job
+			c.cancelAttempt(at)
 			c.retryOrFail(now, l, at.task, fault.Newf(fault.OutcomeUnknown, "task %d: %s can't be reached", at.task, a.worker))
 		}
 	}
--- a/internal/owner/settle.go
+++ b/internal/owner/settle.go
@@ -10,63 +10,64 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// avoidAfterRefusal keeps an agent whose target could not be called, or whose clock
-// says that the deadline is past, from getting the same task again at once:
-// without it a task circles between the owner and the agent, a message each round
-// trip.
-const avoidAfterRefusal = 200 * time.Millisecond
-
-// settle takes one report of an agent.
-func (c *Core) settle(now time.Time, a *agent, r *wire.Report) {
+// avoidanceAfterRejection is how long no task is sent to an agent whose target could not be
+// called, or by whose clock a task's deadline was past. Otherwise the task would be sent
+// back and forth between the owner and the agent, one message per round trip.
+const avoidanceAfterRejection = 200 * time.Millisecond
+
+// handleReport handles one report of an agent. Final reports are acknowledged and settle
+// their attempt; others are ignored.
+func (c *Core) handleReport(now time.Time, a *agent, r *wire.Report) {
 	if !r.State.Final() {
 		return
 	}
-	out := c.touch(a)
+	out := c.pendingFrame(a)
 	out.Acks = append(out.Acks, r.Seq)
 	at, open := a.attempts[r.Seq]
 	if !open {
 		return // a repeated report
 	}
-	c.close(at)
-	c.learnFrom(now, at, r)
+	c.closeAttempt(at)
+	c.recordOutcome(now, at, r)
 	event.Log(c.log.V(1), event.TaskReported, "attempt", r.Seq, "worker", a.worker, "state", int(r.State),
 		"reason", int(r.Reason), "run_ms", r.RunMs)
-	if at.live == nil {
+	if at.job == nil {
 		if r.State != wire.NotRun {
 			c.counts.UnusedOutcomes++
 		}
 		return
 	}
-	at.live.tasks[at.task].attempt = nil
-	c.conclude(now, at, r)
+	at.job.tasks[at.task].attempt = nil
+	c.applyOutcome(now, at, r)
 }
 
-// close ends the owner's bookkeeping of an attempt.
-func (c *Core) close(at *attempt) {
+// closeAttempt removes an attempt and releases its resources and its slot of the team's
+// quota.
+func (c *Core) closeAttempt(at *attempt) {
 	delete(at.agent.attempts, at.seq)
 	at.agent.inUse = at.agent.inUse.Sub(at.demand)
 	c.limiter.Finished(at.team)
 }
 
-// learnFrom feeds an outcome to the estimates and the agent's rating. What was
-// called back says nothing about the target.
-func (c *Core) learnFrom(now time.Time, at *attempt, r *wire.Report) {
+// recordOutcome updates the run time estimates and the agent's health rating. A cancelled
+// attempt counts only if it succeeded: its failure says nothing about the target.
+func (c *Core) recordOutcome(now time.Time, at *attempt, r *wire.Report) {
 	id := uint64(at.agent.incarnation)
-	kind, counts := outcomeKind(r)
-	if !counts || at.live == nil && kind != health.Succeeded {
+	outcome, relevant := healthOutcome(r)
+	if !relevant || at.job == nil && outcome != health.Succeeded {
 		return
 	}
-	if kind == health.Succeeded {
+	if outcome == health.Succeeded {
 		c.estimator.Observe(id, at.class, float64(at.declaredMs), at.agent.target.Speed, r.RunMs)
 	}
-	if c.health.Observe(id, kind == health.Succeeded, kind, now) {
+	if c.health.Observe(id, outcome == health.Succeeded, outcome, now) {
 		event.Log(c.log, event.AgentRated, "worker", at.agent.worker, "rating", c.health.Rating(id).String())
 	}
 }
 
-// outcomeKind maps a report to what it says about the target; counts is false
-// where it says nothing.
-func outcomeKind(r *wire.Report) (kind health.Outcome, counts bool) {
+// healthOutcome maps a report to an outcome of the target; relevant is false if the report
+// says nothing about the target.
+func healthOutcome(r *wire.Report) (outcome health.Outcome, relevant bool) {
 	switch {
 	case r.State == wire.Succeeded:
 		return health.Succeeded, true
@@ -80,18 +81,18 @@
 	return health.Succeeded, false
 }
 
-// conclude applies an attempt's outcome to its job, which is still live.
-func (c *Core) conclude(now time.Time, at *attempt, r *wire.Report) {
-	l := at.live
+// applyOutcome applies the outcome of an attempt that was not cancelled to its job.
+func (c *Core) applyOutcome(now time.Time, at *attempt, r *wire.Report) {
+	l := at.job
 	switch r.State {
 	case wire.Succeeded:
-		c.succeed(now, l, at.task, r.Result)
+		c.taskSucceeded(now, l, at.task, r.Result)
 	case wire.NotRun:
 		c.counts.NotRun++
 		if r.Reason == wire.ReasonTargetUnavailable || r.Reason == wire.ReasonDeadlinePast {
-			at.agent.avoidUntil = now.Add(avoidAfterRefusal)
+			at.agent.avoidUntil = now.Add(avoidanceAfterRejection)
 		}
-		c.putBack(l, at.task)
+		c.requeueTask(l, at.task)
 		event.Log(c.log, event.TaskReplaced, "job", l.rec.id.String(), "task", at.task, "worker", at.agent.worker,
 			"reason", int(r.Reason))
 	case wire.FailedRun:
@@ -101,29 +102,31 @@
 	}
 }
 
-func (c *Core) succeed(now time.Time, l *liveJob, task int, result []byte) {
+// taskSucceeded records a task's result. After the last task the job is complete, or has
+// failed if the deadline is past.
+func (c *Core) taskSucceeded(now time.Time, l *liveJob, task int, result []byte) {
 	l.tasks[task].state = taskDone
 	l.tasks[task].result = result
 	l.remainingMs -= l.tasks[task].estimateMs
-	c.addWork(l, -l.tasks[task].estimateMs)
-	l.done++
-	if l.done < len(l.tasks) {
-		c.enqueue(l)
+	c.addQueuedWork(l, -l.tasks[task].estimateMs)
+	l.doneTasks++
+	if l.doneTasks < len(l.tasks) {
+		c.updateReadyQueue(l)
 		return
 	}
 	if !now.Before(l.rec.id.Deadline) {
-		c.fail(now, l, fault.New(fault.DeadlineExceeded, "the last result came after the deadline"))
+		c.failJob(now, l, fault.New(fault.DeadlineExceeded, "the last result came after the deadline"))
 		return
 	}
 	results := make([][]byte, len(l.tasks))
 	for i := range l.tasks {
 		results[i] = l.tasks[i].result
 	}
-	c.finish(now, l, job.Answer{ID: l.rec.id.String(), State: job.Complete, Results: results})
+	c.finishJob(now, l, job.Answer{ID: l.rec.id.String(), State: job.Complete, Results: results})
 }
 
-// putBack makes a task that certainly did not run wait again.
-func (c *Core) putBack(l *liveJob, task int) {
+// requeueTask makes a task wait again. The task must not have run, or must be idempotent.
+func (c *Core) requeueTask(l *liveJob, task int) {
 	l.tasks[task].state = taskWaiting
 	estimate := l.tasks[task].estimateMs
 	at := len(l.waiting)
@@ -133,27 +136,29 @@
 	l.waiting = append(l.waiting, 0)
 	copy(l.waiting[at+1:], l.waiting[at:])
 	l.waiting[at] = task
-	c.countWaiting(l, 1)
-	c.enqueue(l)
+	c.addWaiting(l, 1)
+	c.updateReadyQueue(l)
 }
 
+// retryOrFail retries the task of an idempotent request, up to MaxStarts starts, and
+// otherwise fails the job.
 func (c *Core) retryOrFail(now time.Time, l *liveJob, task int, f *fault.Fault) {
-	if l.sub.Idempotent && l.tasks[task].tries < MaxStarts {
-		c.putBack(l, task)
+	if l.sub.Idempotent && l.tasks[task].starts < MaxStarts {
+		c.requeueTask(l, task)
 		return
 	}
-	c.fail(now, l, f)
+	c.failJob(now, l, f)
 }
 
-// fail ends a job as failed and calls back whatever is still under way. The
-// failure says "not run" only where no attempt is open and none ever ran.
-func (c *Core) fail(now time.Time, l *liveJob, f *fault.Fault) {
+// failJob ends a job as failed and cancels its open attempts. The failure says "not run"
+// only if no attempt is open and none has run.
+func (c *Core) failJob(now time.Time, l *liveJob, f *fault.Fault) {
 	f.NotRun = !l.mayHaveRun || c.provenNotRun(l)
-	c.finish(now, l, job.Answer{ID: l.rec.id.String(), State: job.Failed, Failure: f})
+	c.finishJob(now, l, job.Answer{ID: l.rec.id.String(), State: job.Failed, Failure: f})
 }
 
-// provenNotRun reports whether every task is waiting and each attempt of the past
-// was reported as not run.
+// provenNotRun reports whether every task is waiting and all earlier attempts were reported
+// as not run.
 func (c *Core) provenNotRun(l *liveJob) bool {
 	for i := range l.tasks {
 		if l.tasks[i].state != taskWaiting {
@@ -163,19 +168,19 @@
 	return !l.sub.Idempotent // an idempotent request waits again after an unknown outcome
 }
 
-// finish gives the job its one final answer and lets go of its tasks.
-func (c *Core) finish(now time.Time, l *liveJob, answer job.Answer) {
+// finishJob sets the final answer of a job, releases its tasks and calls its callbacks.
+func (c *Core) finishJob(now time.Time, l *liveJob, answer job.Answer) {
 	r := l.rec
-	if l.place != nil && l.place.Queued() {
-		c.ready.Remove(l.place)
-	}
-	c.countWaiting(l, -len(l.waiting))
-	c.addWork(l, -l.remainingMs)
-	c.dropTeam(l.sub.Team)
-	c.recall(l)
-	r.live, r.answer = nil, answer
+	if l.queueItem != nil && l.queueItem.Queued() {
+		c.ready.Remove(l.queueItem)
+	}
+	c.addWaiting(l, -len(l.waiting))
+	c.addQueuedWork(l, -l.remainingMs)
+	c.removeIdleTeam(l.sub.Team)
+	c.cancelAttempts(l)
+	r.job, r.answer = nil, answer
 	c.pending--
-	c.retain(r)
+	c.retainResults(r)
 	if answer.State == job.Complete {
 		c.counts.Complete++
 		event.Log(c.log, event.JobComplete, "job", r.id.String(), "ms", now.Sub(l.accepted).Milliseconds())
@@ -184,44 +189,45 @@
 		event.Log(c.log, event.JobFailed, "job", r.id.String(), "code", int(answer.Failure.Code),
 			"reason", answer.Failure.Name, "detail", answer.Failure.Detail, "not_run", answer.Failure.NotRun)
 	}
-	for _, w := range l.waiters {
-		r.give(w)
+	for _, callback := range l.callbacks {
+		r.deliver(callback)
 	}
-	l.waiters = nil
+	l.callbacks = nil
 }
 
-// recall cancels the job's open attempts; their reports settle them later.
-func (c *Core) recall(l *liveJob) {
+// cancelAttempts cancels the open attempts of a job. They are settled by their reports.
+func (c *Core) cancelAttempts(l *liveJob) {
 	for i := range l.tasks {
 		if at := l.tasks[i].attempt; at != nil {
-			c.abandon(at)
+			c.cancelAttempt(at)
 		}
 	}
 }
 
-// abandon cancels one attempt whose outcome no longer matters.
-func (c *Core) abandon(at *attempt) {
-	at.live.tasks[at.task].attempt = nil
-	at.live = nil
-	out := c.touch(at.agent)
+// cancelAttempt cancels one attempt and detaches it from its job.
+func (c *Core) cancelAttempt(at *attempt) {
+	at.job.tasks[at.task].attempt = nil
+	at.job = nil
+	out := c.pendingFrame(at.agent)
 	out.Cancels = append(out.Cancels, at.seq)
 	c.counts.Cancels++
 }
 
-// retain keeps the results for later look-ups, within MaxAnswerBytes.
-func (c *Core) retain(r *record) {
+// retainResults keeps the results of an answer for look-ups. It evicts the oldest results
+// beyond MaxAnswerBytes.
+func (c *Core) retainResults(r *record) {
 	for _, b := range r.answer.Results {
 		r.answerBytes += len(b)
 	}
 	if r.answerBytes == 0 {
 		return
 	}
-	c.answers = append(c.answers, r)
-	c.kept += r.answerBytes
-	for c.kept > MaxAnswerBytes {
-		oldest := c.answers[0]
-		c.answers = c.answers[1:]
-		c.kept -= oldest.answerBytes
+	c.retainedAnswers = append(c.retainedAnswers, r)
+	c.retainedBytes += r.answerBytes
+	for c.retainedBytes > MaxAnswerBytes {
+		oldest := c.retainedAnswers[0]
+		c.retainedAnswers = c.retainedAnswers[1:]
+		c.retainedBytes -= oldest.answerBytes
 		oldest.answerBytes = 0
 		if oldest.answer.State == job.Complete {
 			oldest.answer.Results = nil
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -7,17 +7,17 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// Counts counts events since the start of the process.
+// Counts are numbers of events since the start of the process.
 type Counts struct {
 	Accepted       uint64 `json:"accepted"`
 	Attached       uint64 `json:"attached"`
 	Refused        uint64 `json:"refused"`
 	Complete       uint64 `json:"complete"`
 	Failed         uint64 `json:"failed"`
-	Starts         uint64 `json:"starts"`  // start messages sent
-	NotRun         uint64 `json:"not_run"` // starts that an agent turned away
-	Cancels        uint64 `json:"cancels"` // attempts called back after sending
-	UnusedOutcomes uint64 `json:"unused"`  // outcomes that came after their job had ended
+	Starts         uint64 `json:"starts"`  // tasks sent to agents
+	NotRun         uint64 `json:"not_run"` // attempts reported as not run, except cancelled ones
+	Cancels        uint64 `json:"cancels"` // attempts cancelled after sending
+	UnusedOutcomes uint64 `json:"unused"`  // outcomes of cancelled attempts that may have run
 }
 
 // Status is a summary of an entry for operators.
@@ -26,14 +26,14 @@
 	Addr         string `json:"addr"`
 	Draining     bool   `json:"draining"`
 	PendingJobs  int    `json:"pending"`  // jobs without a final answer
-	WaitingTasks int    `json:"waiting"`  // tasks not sent
-	OpenAttempts int    `json:"attempts"` // tasks sent and not settled
+	WaitingTasks int    `json:"waiting"`  // tasks that wait to be sent
+	OpenAttempts int    `json:"attempts"` // attempts that are not settled
 	KnownIDs     int    `json:"known"`    // ids held
-	Agents       int    `json:"agents"`   // connected
+	Agents       int    `json:"agents"`   // number of connected agents
 	Counts       Counts `json:"counts"`
 }
 
-// TargetStatus is what an entry knows of one target.
+// TargetStatus is the state of one target as an entry knows it, for operators.
 type TargetStatus struct {
 	Target       string     `json:"target"`
 	Worker       string     `json:"worker"`
@@ -50,7 +50,7 @@
 	Capacity     job.Demand `json:"capacity"`
 }
 
-// Status returns the summary.
+// Status returns a summary of the state.
 func (c *Core) Status() Status {
 	s := Status{
 		Incarnation: c.opts.Owner.Incarnation.String(),
