--- a/internal/owner/sessions.go
+++ b/internal/owner/sessions.go
@@ -101,7 +101,7 @@
 		"open_attempts", len(previous.attempts))
 	for _, seq := range previous.openAttempts() {
 		at := previous.attempts[seq]
-		c.closeAttempt(at)
+		c.close(at)
 		if at.job == nil {
 			continue
 		}
--- a/internal/owner/settle.go
+++ b/internal/owner/settle.go
@@ -27,7 +27,7 @@
 	if !open {
 		return // a repeated report
 	}
-	c.closeAttempt(at)
+	c.close(at)
 	c.recordOutcome(now, at, r)
 	event.Log(c.log.V(1), event.TaskReported, "attempt", r.Seq, "worker", a.worker, "state", int(r.State),
 		"reason", int(r.Reason), "run_ms", r.RunMs)
@@ -41,9 +41,9 @@
 	c.applyOutcome(now, at, r)
 }
 
-// closeAttempt removes an attempt and releases its resources and its slot of the team's
+// close removes an attempt and releases its resources and its slot of the team's
 // quota.
-func (c *Core) closeAttempt(at *attempt) {
+func (c *Core) close(at *attempt) {
 	delete(at.agent.attempts, at.seq)
 	at.agent.inUse = at.agent.inUse.Sub(at.demand)
 	c.limiter.Finished(at.team)
