--- a/apps/camphorctl/main.go
+++ b/apps/camphorctl/main.go
@@ -1,4 +1,4 @@
-// Command camphorctl is the client for operators and callers.
+// Command camphorctl is the command line client for operators and callers.
 package main
 
 import (
@@ -16,15 +16,15 @@
 )
 
 func main() {
-	var runner *command.CLI
-	app := fx.New(fx.NopLogger, fx.Supply(platformlog.Opener(store.Open)), command.Module, fx.Populate(&runner))
+	var cli *command.CLI
+	app := fx.New(fx.NopLogger, fx.Supply(platformlog.Opener(store.Open)), command.Module, fx.Populate(&cli))
 	if err := app.Err(); err != nil {
 		fmt.Fprintln(os.Stderr, "camphorctl:", err)
 		os.Exit(command.ExitFailed)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	env := command.Env{Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, Getenv: os.LookupEnv}
-	code := runner.Run(ctx, env, os.Args[1:])
+	code := cli.Run(ctx, env, os.Args[1:])
 	stop()
 	os.Exit(code)
 }
--- a/command/answer.go
+++ b/command/answer.go
@@ -7,16 +7,17 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// printAnswer prints an answer and returns the Exit code that goes with it.
+// printAnswer prints the answer to a submission and returns its Exit code.
 func (f *flags) printAnswer(a *job.Answer) int {
 	if *f.json {
 		printJSON(f.env.Stdout, a)
 	} else {
 		f.printAnswerText(a)
 	}
-	return exitOfAnswer(a)
+	return answerExitCode(a)
 }
 
+// printAnswerText prints the state, the failure if there is one, and the result of each task.
 func (f *flags) printAnswerText(a *job.Answer) {
 	fmt.Fprintln(f.env.Stdout, "state", a.State)
 	if a.Failure != nil {
@@ -29,21 +30,23 @@
 	}
 }
 
-func exitOfAnswer(a *job.Answer) int {
+// answerExitCode returns the exit code for the state of an answer.
+func answerExitCode(a *job.Answer) int {
 	switch a.State {
 	case job.Complete:
 		return ExitDone
 	case job.Refused:
-		return exitOfRefusal(a.Failure)
+		return refusalExitCode(a.Failure)
 	case job.Pending:
 		return ExitUndecided
 	}
 	return ExitFailed
 }
 
-// exitOfRefusal tells wrong input from a refusal that may be tried again later.
-func exitOfRefusal(f *fault.Fault) int {
-	if f != nil && exitOfFault(f) == ExitUsage {
+// refusalExitCode returns ExitUsage for invalid input, which must be corrected, and
+// ExitNotAccepted for a refusal that can be retried later.
+func refusalExitCode(f *fault.Fault) int {
+	if f != nil && faultExitCode(f) == ExitUsage {
 		return ExitUsage
 	}
 	return ExitNotAccepted
--- a/command/cancel.go
+++ b/command/cancel.go
@@ -25,7 +25,7 @@
 	return "cancel the submissions with the given ids; with none, ids are read from the standard input"
 }
 
-// Run implements Command. The exit code is that of the first id that failed.
+// Run implements Command. The exit code is that of the first id that could not be cancelled.
 func (c cancel) Run(ctx context.Context, env Env, args []string) int {
 	f := newFlags(env, c.Name())
 	ids := f.AllowArguments()
@@ -49,7 +49,8 @@
 	return code
 }
 
-// readIDs reads one id a line and skips empty lines.
+// readIDs reads one id per line and skips empty lines. It returns a *fault.Fault if there is
+// no id.
 func readIDs(in io.Reader) ([]string, error) {
 	var ids []string
 	lines := bufio.NewScanner(in)
@@ -67,11 +68,12 @@
 	return ids, nil
 }
 
+// printCancelled prints the outcome for each id and returns the Exit code of the first failure.
 func (f *flags) printCancelled(results []client.Cancelled) int {
 	code := ExitDone
 	for _, r := range results {
 		if code == ExitDone && r.Failure != nil {
-			code = exitOfFault(r.Failure)
+			code = faultExitCode(r.Failure)
 		}
 		if *f.json {
 			printJSON(f.env.Stdout, r)
--- a/command/command.go
+++ b/command/command.go
@@ -1,7 +1,6 @@
-// Package command holds the subcommands of camphorctl, one file each, and the
-// dispatch by name. Every subcommand takes its settings from flags and from
-// CAMPHORRACK_ environment variables, prints text or (-json) one JSON value a
-// line, and ends with one of the Exit codes.
+// Package command implements the subcommands of camphorctl and selects one by its name.
+// Every subcommand reads its settings from flags and CAMPHORRACK_ environment variables,
+// prints text or, with -json, one JSON value per line, and returns one of the Exit codes.
 package command
 
 import (
@@ -16,60 +15,66 @@
 
 // Command is one subcommand.
 type Command interface {
-	// Name is the word that selects the command.
+	// Name returns the command line word that selects the command.
 	Name() string
-	// Synopsis says in one line what it does.
+	// Synopsis returns a one-line description for the usage text.
 	Synopsis() string
-	// Run does it and returns an Exit code. It stops early when ctx ends.
+	// Run executes the command with the arguments after its name and returns an Exit code.
+	// It returns early when ctx is done.
 	Run(ctx context.Context, env Env, args []string) int
 }
 
-// Env is what a command may touch of its process.
+// Env is the process environment of a command: standard streams and environment variables.
+// Tests replace it.
 type Env struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
-	// Getenv looks up an environment variable, as os.LookupEnv does.
+	// Getenv looks up an environment variable and has the semantics of os.LookupEnv.
 	Getenv func(string) (string, bool)
 }
 
 // Module provides the CLI with every subcommand. It needs a platformlog.Opener.
 var Module = fx.Module("command",
-	provide(newCancel),
+	provideCommand(newCancel),
 	fx.Provide(asCommand(newConfig)),
-	provide(newDrain),
+	provideCommand(newDrain),
 	fx.Provide(asCommand(newEvacuate)),
-	provide(newInfo),
+	provideCommand(newInfo),
 	fx.Provide(asCommand(newRestore)),
-	provide(newStatus),
-	provide(newSubmit),
-	provide(newTargets),
-	provide(newToken),
-	fx.Provide(newRunner),
+	provideCommand(newStatus),
+	provideCommand(newSubmit),
+	provideCommand(newTargets),
+	provideCommand(newToken),
+	fx.Provide(newCLI),
 )
 
-func provide[C Command](constructor func() C) fx.Option { return fx.Provide(asCommand(constructor)) }
+// provideCommand provides the Command of a constructor without dependencies.
+func provideCommand[C Command](constructor func() C) fx.Option {
+	return fx.Provide(asCommand(constructor))
+}
 
+// asCommand annotates a constructor so that its result joins the group of commands.
 func asCommand(constructor any) any {
 	return fx.Annotate(constructor, fx.As(new(Command)), fx.ResultTags(`group:"commands"`))
 }
 
-// CLI dispatches to the subcommands by name.
+// CLI is the command line interface of camphorctl. It dispatches to the subcommands by name.
 type CLI struct {
 	commands []Command
 }
 
-type runnerParams struct {
+type cliParams struct {
 	fx.In
 	Commands []Command `group:"commands"`
 }
 
-func newRunner(p runnerParams) *CLI {
+func newCLI(p cliParams) *CLI {
 	slices.SortFunc(p.Commands, func(a, b Command) int { return strings.Compare(a.Name(), b.Name()) })
 	return &CLI{commands: p.Commands}
 }
 
-// Run runs the subcommand that args[0] names with the arguments after it, and
-// returns its Exit code.
+// Run executes the subcommand that args[0] names with the remaining arguments and returns
+// its Exit code. Without a valid name it prints the usage text and returns ExitUsage.
 func (r *CLI) Run(ctx context.Context, env Env, args []string) int {
 	if len(args) == 0 {
 		r.usage(env.Stderr)
@@ -90,6 +95,7 @@
 	return ExitUsage
 }
 
+// usage writes the list of commands and exit codes.
 func (r *CLI) usage(out io.Writer) {
 	fmt.Fprint(out, "Usage: camphorctl COMMAND [FLAGS] [ARGUMENTS]\n\nCommands (camphorctl COMMAND -h lists the flags):\n")
 	for _, c := range r.commands {
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -26,16 +26,17 @@
 	RunSpecs(t, "command")
 }
 
-// ctl runs camphorctl with its environment made up.
+// ctl runs camphorctl in the test process, without environment variables and with its standard
+// streams in memory.
 type ctl struct {
-	runner         *CLI
+	cli            *CLI
 	stdin          string
 	stdout, stderr bytes.Buffer
 }
 
 func newCtl() *ctl {
 	c := &ctl{}
-	app := fx.New(fx.NopLogger, fx.Supply(platformlog.Opener(store.Open)), Module, fx.Populate(&c.runner))
+	app := fx.New(fx.NopLogger, fx.Supply(platformlog.Opener(store.Open)), Module, fx.Populate(&c.cli))
 	Expect(app.Err()).NotTo(HaveOccurred())
 	return c
 }
@@ -45,17 +46,17 @@
 		Stdin: strings.NewReader(c.stdin), Stdout: &c.stdout, Stderr: &c.stderr,
 		Getenv: func(string) (string, bool) { return "", false },
 	}
-	return c.runner.Run(context.Background(), env, args)
+	return c.cli.Run(context.Background(), env, args)
 }
 
-// serve runs a fake entry and returns its address.
-func serve(handler http.HandlerFunc) string {
+// startFakeEntry starts a fake entry that the handler implements, and returns its address.
+func startFakeEntry(handler http.HandlerFunc) string {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
@@ -64,12 +65,12 @@
 	It("lists every command in its help", func() {
 		c := newCtl()
 		Expect(c.run("help")).To(Equal(ExitDone))
-		for _, command := range c.runner.commands {
+		for _, command := range c.cli.commands {
 			Expect(c.stdout.String()).To(ContainSubstring(command.Synopsis()))
 		}
 	})
 
-	DescribeTable("ends with 2 and sends nothing on wrong usage",
+	DescribeTable("exits with 2 on a usage error and sends nothing",
 		func(args ...string) {
 			c := newCtl()
 			Expect(c.run(args...)).To(Equal(ExitUsage))
@@ -85,26 +86,26 @@
 		Entry("an address without a port", "token", "-entry", "localhost"),
 	)
 
-	// The operator's terminal is lost while a long job runs. The id is on the
-	// screen before anything was sent, so the answer can still be asked for.
+	// An operator who loses the terminal while a long job runs needs the id to query the answer,
+	// so it must be printed before the submission is sent.
 	It("prints the id before it submits", func() {
 		c := newCtl()
-		addr := serve(func(w http.ResponseWriter, r *http.Request) {
+		addr := startFakeEntry(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/v1/token" {
-				reply(w, http.StatusOK, map[string]string{"token": "c1-a-b-c"})
+				writeJSON(w, http.StatusOK, map[string]string{"token": "c1-a-b-c"})
 				return
 			}
 			Expect(c.stdout.String()).To(HavePrefix("id c1-a-b-c-"))
 			id, _, _ := strings.Cut(strings.TrimPrefix(c.stdout.String(), "id "), "\n")
-			reply(w, http.StatusOK, job.Answer{ID: id, State: job.Complete, Results: [][]byte{[]byte("done")}})
+			writeJSON(w, http.StatusOK, job.Answer{ID: id, State: job.Complete, Results: [][]byte{[]byte("done")}})
 		})
 		Expect(c.run("submit", "-entry", addr, "payload")).To(Equal(ExitDone))
 		Expect(c.stdout.String()).To(HaveSuffix("state complete\nresult 0 done\n"))
 	})
 
-	DescribeTable("tells scripts by its exit code how a submission ended",
+	DescribeTable("maps the outcome of a submission to an exit code",
 		func(status int, answer job.Answer, want int) {
-			addr := serve(func(w http.ResponseWriter, _ *http.Request) { reply(w, status, answer) })
+			addr := startFakeEntry(func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, status, answer) })
 			Expect(newCtl().run("status", "-entry", addr, "some-id")).To(Equal(want))
 		},
 		Entry("complete", 200, job.Answer{State: job.Complete}, ExitDone),
@@ -114,13 +115,13 @@
 		Entry("pending", 202, job.Answer{State: job.Pending}, ExitUndecided),
 	)
 
-	// Thousands of jobs are called off at once and one of them is unknown: the
-	// others must still be cancelled, and the script must learn of the one.
-	It("cancels in waves, from the standard input, and reports the first that failed", func() {
+	// Thousands of jobs are cancelled at once and one of the ids is unknown. The other jobs must
+	// still be cancelled, and the exit code must report the failure.
+	It("cancels ids from the standard input in batches and exits with the code of the first failure", func() {
 		c := newCtl()
 		c.stdin = strings.Repeat("id\n", client.MaxCancelIDs) + "\nlost\n"
 		calls := 0
-		addr := serve(func(w http.ResponseWriter, r *http.Request) {
+		addr := startFakeEntry(func(w http.ResponseWriter, r *http.Request) {
 			calls++
 			var request struct {
 				IDs []string `json:"ids"`
@@ -133,7 +134,7 @@
 					results[i].Failure = fault.New(fault.NotFound, "")
 				}
 			}
-			reply(w, http.StatusOK, map[string]any{"results": results})
+			writeJSON(w, http.StatusOK, map[string]any{"results": results})
 		})
 		Expect(c.run("cancel", "-entry", addr)).To(Equal(ExitFailed))
 		Expect(calls).To(Equal(2))
--- a/command/config.go
+++ b/command/config.go
@@ -16,8 +16,8 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// configCommand is "camphorctl config": it works on the platform's log directly,
-// so it needs no entry to be alive.
+// configCommand implements "camphorctl config". It reads and writes the platform's log
+// directly, so that it works even if no entry is available.
 type configCommand struct {
 	open platformlog.Opener
 }
@@ -32,24 +32,26 @@
 	return "get, set, diff, history, except add|remove, resolve, restart: the fleet's configuration"
 }
 
-// unsetVersion stands for a version flag that was not given.
+// unsetVersion is the value of a version flag that is not set.
 const unsetVersion = -1
 
-// configFlags are the settings of every config subcommand.
+// configFlags are the settings of all commands that read or change the configuration.
 type configFlags struct {
 	*flags
 	log, author, reason, change, from *string
 	base, first, second               *int64
 	wait                              *time.Duration
-	words                             *[]string
+	arguments                         *[]string
 }
 
-type configAction func(ctx context.Context, f *configFlags, p *config.Publisher, words []string) int
+// configAction executes one action of "camphorctl config" with the arguments after its name and
+// returns an Exit code.
+type configAction func(ctx context.Context, f *configFlags, p *config.Publisher, args []string) int
 
-// actions are the subcommands by their words.
+// configActions are the actions of "camphorctl config". A name can have several words.
 var configActions = []struct {
-	words string
-	run   configAction
+	name string
+	run  configAction
 }{
 	{"get", configGet},
 	{"set", configSet},
@@ -63,24 +65,24 @@
 
 // Run implements Command.
 func (c configCommand) Run(ctx context.Context, env Env, args []string) int {
-	f, p, code := openConfig(env, c.Name(), c.open, args)
+	f, p, code := openPublisher(env, c.Name(), c.open, args)
 	if p == nil {
 		return code
 	}
-	words := *f.words
+	positional := *f.arguments
 	for _, a := range configActions {
-		action := strings.Fields(a.words)
-		if len(words) < len(action) || !slices.Equal(words[:len(action)], action) {
+		action := strings.Fields(a.name)
+		if len(positional) < len(action) || !slices.Equal(positional[:len(action)], action) {
 			continue
 		}
-		return a.run(ctx, f, p, words[len(action):])
+		return a.run(ctx, f, p, positional[len(action):])
 	}
-	return f.fail(wrongUsage("want one of " + configWords()))
+	return f.fail(usageError("want one of " + configActionNames()))
 }
 
 func newConfigFlags(env Env, name string) *configFlags {
 	f := &configFlags{flags: newFlags(env, name)}
-	f.words = f.AllowArguments()
+	f.arguments = f.AllowArguments()
 	f.log = f.String("log", "", "base URL of the platform's log, such as http://10.0.0.7:7000")
 	f.author = f.String("author", userName(), "who makes the change")
 	f.reason = f.String("reason", "", "why; an exception is refused without one")
@@ -106,6 +108,7 @@
 	return f
 }
 
+// userName returns the login name of the operator, or "" if it is unknown.
 func userName() string {
 	u, err := user.Current()
 	if err != nil {
@@ -114,25 +117,28 @@
 	return u.Username
 }
 
-func configWords() string {
-	words := make([]string, len(configActions))
+// configActionNames lists the names of the actions for an error message.
+func configActionNames() string {
+	names := make([]string, len(configActions))
 	for i, a := range configActions {
-		words[i] = a.words
+		names[i] = a.name
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(names, ", ")
 }
 
-func wrongUsage(detail string) *fault.Fault {
+// usageError returns the fault for invalid arguments.
+func usageError(detail string) *fault.Fault {
 	return fault.Input(fault.BadSetting, "arguments", detail)
 }
 
-// configSet takes KEY=VALUE, or KEY= to go back to the built-in default.
-func configSet(ctx context.Context, f *configFlags, p *config.Publisher, words []string) int {
+// configSet publishes a change of settings. Each argument is KEY=VALUE, or KEY= to restore the
+// built-in default.
+func configSet(ctx context.Context, f *configFlags, p *config.Publisher, args []string) int {
 	change := &config.Change{}
-	for _, w := range words {
-		key, value, found := strings.Cut(w, "=")
+	for _, arg := range args {
+		key, value, found := strings.Cut(arg, "=")
 		if !found {
-			return f.fail(wrongUsage("want KEY=VALUE, or KEY= for the built-in default, got " + w))
+			return f.fail(usageError("want KEY=VALUE, or KEY= for the built-in default, got " + arg))
 		}
 		if value == "" {
 			change.Unset = append(change.Unset, config.Key(key))
@@ -140,34 +146,37 @@
 		}
 		n, err := strconv.ParseInt(value, 10, 64)
 		if err != nil {
-			return f.fail(wrongUsage(w + ": takes a whole number"))
+			return f.fail(usageError(arg + ": takes a whole number"))
 		}
 		change.Set = append(change.Set, config.Setting{Key: config.Key(key), Value: n})
 	}
 	return f.publish(ctx, p, change)
 }
 
-// parsePlace reads KIND:NAME KEY[=VALUE].
-func parsePlace(words []string) (config.Place, string, error) {
-	if len(words) != 2 {
-		return config.Place{}, "", wrongUsage("want KIND:NAME KEY=VALUE, such as target:t1 drain=1 (remove: without =VALUE)")
+// parsePlace parses the two arguments KIND:NAME and KEY[=VALUE] of an exception. It returns the
+// value as text, which is empty without =VALUE.
+func parsePlace(args []string) (config.Place, string, error) {
+	if len(args) != 2 {
+		return config.Place{}, "", usageError("want KIND:NAME KEY=VALUE, such as target:t1 drain=1 (remove: without =VALUE)")
 	}
-	kind, name, found := strings.Cut(words[0], ":")
+	kind, name, found := strings.Cut(args[0], ":")
 	if !found {
-		return config.Place{}, "", wrongUsage("want KIND:NAME, such as target:t1, got " + words[0])
+		return config.Place{}, "", usageError("want KIND:NAME, such as target:t1, got " + args[0])
 	}
-	key, value, _ := strings.Cut(words[1], "=")
+	key, value, _ := strings.Cut(args[1], "=")
 	return config.Place{Kind: config.ScopeKind(kind), Name: name, Key: config.Key(key)}, value, nil
 }
 
-func configExceptAdd(ctx context.Context, f *configFlags, p *config.Publisher, words []string) int {
-	place, value, err := parsePlace(words)
+// configExceptAdd publishes an exception: another value of a setting for one target, data centre
+// or other scope.
+func configExceptAdd(ctx context.Context, f *configFlags, p *config.Publisher, args []string) int {
+	place, value, err := parsePlace(args)
 	if err != nil {
 		return f.fail(err)
 	}
 	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		return f.fail(wrongUsage(words[1] + ": takes KEY=VALUE with a whole number"))
+		return f.fail(usageError(args[1] + ": takes KEY=VALUE with a whole number"))
 	}
 	return f.publish(ctx, p, &config.Change{Add: []config.Exception{{
 		Kind: place.Kind, Name: place.Name, Key: place.Key, Value: n,
@@ -175,14 +184,17 @@
 	}}})
 }
 
-func configExceptRemove(ctx context.Context, f *configFlags, p *config.Publisher, words []string) int {
-	place, _, err := parsePlace(words)
+// configExceptRemove publishes the removal of an exception.
+func configExceptRemove(ctx context.Context, f *configFlags, p *config.Publisher, args []string) int {
+	place, _, err := parsePlace(args)
 	if err != nil {
 		return f.fail(err)
 	}
 	return f.publish(ctx, p, &config.Change{Remove: []config.Place{place}})
 }
 
+// publish completes a change from the flags, publishes it and reports the result. Without -base
+// the change is based on the version in force.
 func (f *configFlags) publish(ctx context.Context, p *config.Publisher, c *config.Change) int {
 	c.Author, c.Reason, c.AtMs = *f.author, *f.reason, time.Now().UnixMilli()
 	if *f.base == unsetVersion {
@@ -198,35 +210,38 @@
 	if err != nil {
 		return f.fail(err)
 	}
-	return f.accepted(ctx, state)
+	return f.reportAccepted(ctx, state)
 }
 
-// refreshCallTimeout is above the time that an entry takes at most to answer.
+// refreshCallTimeout limits one refresh call. It exceeds the time after which an entry answers
+// in any case.
 const refreshCallTimeout = 3 * time.Second
 
-// refresh has the entries put the version in force now and returns those that did.
-func (f *configFlags) refresh(ctx context.Context, version uint64) []string {
-	var done []string
+// refreshEntries makes each entry of -entry read the log now and returns the addresses of those
+// at which the version is in force.
+func (f *configFlags) refreshEntries(ctx context.Context, version uint64) []string {
+	var refreshed []string
 	for _, entry := range client.SplitAddrs(*f.entries) {
 		c, err := client.New(client.Options{Entries: []string{entry}, CallTimeout: refreshCallTimeout})
 		if err != nil {
 			continue
 		}
 		if s, err := c.RefreshConfig(ctx, version); err == nil && s.Version >= version {
-			done = append(done, entry)
+			refreshed = append(refreshed, entry)
 		}
 	}
-	return done
+	return refreshed
 }
 
-// accepted tells what was accepted. Until an entry has it too, it would be lost
-// with the log's records, so that is told as well.
-func (f *configFlags) accepted(ctx context.Context, s *config.State) int {
-	done := f.refresh(ctx, s.Version)
-	if len(done) == 0 {
+// reportAccepted prints the accepted change and the entries that have applied it, and returns
+// ExitDone. Until an entry has the change, it is stored only in the log and would be lost with
+// the log's records, so a missing confirmation is printed too.
+func (f *configFlags) reportAccepted(ctx context.Context, s *config.State) int {
+	refreshed := f.refreshEntries(ctx, s.Version)
+	if len(refreshed) == 0 {
 		fmt.Fprintln(f.env.Stderr, "camphorctl: accepted; none of the entries named by -entry has confirmed it yet")
 	}
-	for _, entry := range done {
+	for _, entry := range refreshed {
 		fmt.Fprintln(f.env.Stderr, "camphorctl: in force at", entry)
 	}
 	if *f.json {
@@ -237,9 +252,10 @@
 	return ExitDone
 }
 
+// configResolve prints the outcome of a change that was undecided when it was published.
 func configResolve(ctx context.Context, f *configFlags, p *config.Publisher, _ []string) int {
 	if *f.change == "" || *f.base < 0 {
-		return f.fail(wrongUsage("resolve takes -change and -base, as the undecided change printed them"))
+		return f.fail(usageError("resolve takes -change and -base, as the undecided change printed them"))
 	}
 	r, err := p.Resolve(ctx, *f.change, uint64(*f.base))
 	if err != nil {
--- a/command/drain.go
+++ b/command/drain.go
@@ -20,8 +20,8 @@
 	return "ask the entries or agents at the given addresses to finish what they have and take no new work"
 }
 
-// Run implements Command. Every daemon is asked, also after one that could not be
-// reached; the exit code is that of the first that failed.
+// Run implements Command. It drains every daemon even if one can't be reached. The exit
+// code is that of the first failure.
 func (d drain) Run(ctx context.Context, env Env, args []string) int {
 	f := newFlags(env, d.Name())
 	addrs := f.AllowArguments()
@@ -31,16 +31,17 @@
 	if len(*addrs) == 0 {
 		return f.fail(fault.Input(fault.BadSetting, "address", "want addresses of the daemons to drain"))
 	}
-	first := ExitDone
+	exitCode := ExitDone
 	for _, addr := range *addrs {
-		if code := f.drainOne(ctx, addr); first == ExitDone {
-			first = code
+		if code := f.drainDaemon(ctx, addr); exitCode == ExitDone {
+			exitCode = code
 		}
 	}
-	return first
+	return exitCode
 }
 
-func (f *flags) drainOne(ctx context.Context, addr string) int {
+// drainDaemon drains the entry or agent at addr and returns an Exit code.
+func (f *flags) drainDaemon(ctx context.Context, addr string) int {
 	c, err := client.New(client.Options{Entries: []string{addr}, CallTimeout: callTimeout})
 	if err != nil {
 		return f.fail(err)
--- a/command/evacuate.go
+++ b/command/evacuate.go
@@ -9,12 +9,12 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// drainKey is the setting with which a data centre's targets get no new work.
+// drainKey is the setting that stops new work for the targets in its scope.
 const drainKey config.Key = "drain"
 
-// evacuate is "camphorctl evacuate": the targets of a data centre get no new work and finish
-// what they have. Like every lasting change it is an exception with a reason, so the
-// configuration's history shows who asked for it and when.
+// evacuate implements "camphorctl evacuate": the targets of a data centre get no new work and
+// finish the tasks that they have. The evacuation is stored as a configuration exception, which
+// requires a reason, so that the configuration's history shows who requested it and when.
 type evacuate struct {
 	open platformlog.Opener
 }
@@ -31,20 +31,20 @@
 
 // Run implements Command.
 func (c evacuate) Run(ctx context.Context, env Env, args []string) int {
-	f, p, code := openConfig(env, c.Name(), c.open, args)
+	f, p, code := openPublisher(env, c.Name(), c.open, args)
 	if p == nil {
 		return code
 	}
-	switch names := *f.words; len(names) {
+	switch names := *f.arguments; len(names) {
 	case 0:
 		return listEvacuated(ctx, f, p)
 	case 1:
-		return configExceptAdd(ctx, f, p, []string{dataCentre(names[0]), string(drainKey) + "=1"})
+		return configExceptAdd(ctx, f, p, []string{dataCentreScope(names[0]), string(drainKey) + "=1"})
 	}
-	return f.fail(wrongUsage("takes one data centre"))
+	return f.fail(usageError("takes one data centre"))
 }
 
-// restore is "camphorctl restore": it lifts an evacuation.
+// restore implements "camphorctl restore", which removes the exception of an evacuation.
 type restore struct {
 	open platformlog.Opener
 }
@@ -59,20 +59,20 @@
 
 // Run implements Command.
 func (c restore) Run(ctx context.Context, env Env, args []string) int {
-	f, p, code := openConfig(env, c.Name(), c.open, args)
+	f, p, code := openPublisher(env, c.Name(), c.open, args)
 	if p == nil {
 		return code
 	}
-	names := *f.words
+	names := *f.arguments
 	if len(names) != 1 {
-		return f.fail(wrongUsage("takes one data centre"))
+		return f.fail(usageError("takes one data centre"))
 	}
-	return configExceptRemove(ctx, f, p, []string{dataCentre(names[0]), string(drainKey)})
+	return configExceptRemove(ctx, f, p, []string{dataCentreScope(names[0]), string(drainKey)})
 }
 
-// openConfig reads the flags of a command that changes the configuration. The publisher is nil
-// where they are wrong; the code is to be returned then.
-func openConfig(env Env, name string, open platformlog.Opener, args []string) (*configFlags, *config.Publisher, int) {
+// openPublisher reads the flags of a command that changes the configuration and opens the
+// platform's log. If the publisher is nil, the command must return the exit code, as after load.
+func openPublisher(env Env, name string, open platformlog.Opener, args []string) (*configFlags, *config.Publisher, int) {
 	f := newConfigFlags(env, name)
 	if code, ok := f.load(args); !ok {
 		return f, nil, code
@@ -80,8 +80,10 @@
 	return f, config.NewPublisher(open(*f.log), *f.wait), ExitDone
 }
 
-func dataCentre(name string) string { return string(config.ScopeDataCentre) + ":" + name }
+// dataCentreScope returns the KIND:NAME argument of exceptions that selects a data centre.
+func dataCentreScope(name string) string { return string(config.ScopeDataCentre) + ":" + name }
 
+// listEvacuated prints the data centres that are evacuated, with author, time and reason.
 func listEvacuated(ctx context.Context, f *configFlags, p *config.Publisher) int {
 	fold, _, err := p.Load(ctx)
 	if err != nil {
@@ -95,7 +97,7 @@
 			printJSON(f.env.Stdout, e)
 			continue
 		}
-		fmt.Fprintln(f.env.Stdout, strings.Join([]string{e.Name, "since", stamp(e.AtMs), "by", e.Author + ":", e.Reason}, " "))
+		fmt.Fprintln(f.env.Stdout, strings.Join([]string{e.Name, "since", formatTime(e.AtMs), "by", e.Author + ":", e.Reason}, " "))
 	}
 	return ExitDone
 }
--- a/command/exit.go
+++ b/command/exit.go
@@ -5,25 +5,27 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// Exit codes of camphorctl. Scripts branch on them, so a code never changes its meaning.
+// Exit codes of camphorctl. Scripts branch on them, so the meaning of a code must not change.
 const (
-	ExitDone        = 0 // done; for a submission: the answer is complete
+	ExitDone        = 0 // success; for a submission: its answer is complete
 	ExitFailed      = 1 // an accepted submission failed, or the request itself failed
-	ExitUsage       = 2 // wrong arguments, settings or input; nothing was sent or started
-	ExitConflict    = 3 // another operator's change won, or the id came with another body
-	ExitUndecided   = 4 // the outcome can't be learned now; ask again with the same id
-	ExitNotAccepted = 5 // nothing was accepted: refused, and none of it ran or ever will
+	ExitUsage       = 2 // invalid arguments, settings or input; nothing was sent or started
+	ExitConflict    = 3 // another operator's change was accepted first, or the id is in use with another body
+	ExitUndecided   = 4 // the outcome is not known yet; query it again with the same id
+	ExitNotAccepted = 5 // the request was refused; none of it has run or will run
 )
 
-// ExitCode returns the exit code that goes with an error; nil is ExitDone.
+// ExitCode returns the exit code for an error. It is ExitDone for nil and ExitFailed for an
+// error whose fault has no code of its own.
 func ExitCode(err error) int {
 	if err == nil {
 		return ExitDone
 	}
-	return exitOfFault(client.FaultOf(err))
+	return faultExitCode(client.FaultOf(err))
 }
 
-func exitOfFault(f *fault.Fault) int {
+// faultExitCode returns the exit code for the code of a fault.
+func faultExitCode(f *fault.Fault) int {
 	switch f.Code {
 	case fault.Undecided, fault.ConfigUndecided:
 		return ExitUndecided
--- a/command/flags.go
+++ b/command/flags.go
@@ -11,10 +11,10 @@
 	"github.com/camphorrack/camphorrack/internal/settings"
 )
 
-// defaultEntry is where an entry listens unless it is told otherwise.
+// defaultEntry is the default listen address of an entry.
 const defaultEntry = "127.0.0.1:7400"
 
-// flags are the settings that every subcommand has.
+// flags are the settings that all subcommands have in common.
 type flags struct {
 	*settings.Set
 	env     Env
@@ -32,7 +32,8 @@
 	}
 }
 
-// load reads the arguments. Where ok is false the command ends with the code.
+// load reads the environment and the arguments. If ok is false, the command must return code:
+// help or the settings were printed, or an argument is invalid.
 func (f *flags) load(args []string) (code int, ok bool) {
 	err := f.Load(args, f.env.Getenv)
 	switch {
@@ -45,16 +46,16 @@
 	return ExitUsage, false
 }
 
-// client returns a client of the entries; the error is about -entry.
+// client returns a client of the entries. It returns a *fault.Fault if -entry is invalid.
 func (f *flags) client() (*client.Client, error) {
 	return client.New(client.Options{Entries: client.SplitAddrs(*f.entries), CallTimeout: callTimeout})
 }
 
-// callTimeout bounds one call that waits for nothing, such as a token.
+// callTimeout limits one call that does not wait for an answer, such as a request for a token.
 const callTimeout = 2 * time.Second
 
-// fail prints an error, as JSON on the standard output too where that was asked
-// for, and returns its Exit code.
+// fail prints an error on the standard error and, with -json, as JSON on the standard output.
+// It returns the Exit code of the error.
 func (f *flags) fail(err error) int {
 	if *f.json {
 		printJSON(f.env.Stdout, client.FaultOf(err))
--- a/command/print.go
+++ b/command/print.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// printJSON writes one value on one line.
+// printJSON writes a value as JSON on one line, or {} if it can't be encoded.
 func printJSON(out io.Writer, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/command/status.go
+++ b/command/status.go
@@ -36,16 +36,17 @@
 	if err != nil {
 		return f.fail(err)
 	}
-	answer, err := lookup(ctx, c, (*ids)[0], *wait)
+	answer, err := lookUp(ctx, c, (*ids)[0], *wait)
 	if err != nil {
 		return f.fail(err)
 	}
 	return f.printAnswer(answer)
 }
 
-// lookup waits for a final answer as long as told; then a job that is merely
-// pending is an answer too.
-func lookup(ctx context.Context, c *client.Client, id string, wait time.Duration) (*job.Answer, error) {
+// lookUp returns the current answer to a submission. With a positive wait it waits for the
+// final answer up to that long, and returns a pending answer if there is none by then. The
+// errors are those of client.Client.Await.
+func lookUp(ctx context.Context, c *client.Client, id string, wait time.Duration) (*job.Answer, error) {
 	if wait <= 0 {
 		return c.Lookup(ctx, id)
 	}
--- a/command/submit.go
+++ b/command/submit.go
@@ -13,9 +13,10 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// answerAllowance is how long after its deadline a submission's answer is still
-// waited for: the owner answers by the deadline, and an entry that can't reach
-// the owner decides half a second after it.
+// answerAllowance is how long the command waits for an answer after the deadline: the time
+// for which the owner still returns a complete answer (job.AnswerGrace). An entry that can't
+// reach the owner reports the outcome as unknown only half a second after that time
+// (forward.MaxClockSkew); the command returns ExitUndecided before.
 const answerAllowance = 2 * time.Second
 
 type submit struct{}
@@ -30,35 +31,35 @@
 	return "submit a job or a single request and wait for its answer; arguments are payloads, one a task"
 }
 
-// submitFlags are the settings of submit.
+// submitFlags are the settings of the submit command.
 type submitFlags struct {
 	*flags
-	payloads *[]string
-	file     *string
-	id       *string
-	timeout  *time.Duration
-	team     *string
-	class    *string
-	estimate *time.Duration
-	single   *bool
-	again    *bool
-	spread   *bool
+	payloads    *[]string
+	file        *string
+	id          *string
+	timeout     *time.Duration
+	team        *string
+	class       *string
+	estimate    *time.Duration
+	single      *bool
+	idempotent  *bool
+	spreadRacks *bool
 }
 
 func newSubmitFlags(env Env, name string) *submitFlags {
 	f := newFlags(env, name)
 	return &submitFlags{
-		flags:    f,
-		payloads: f.AllowArguments(),
-		file:     f.String("file", "", "JSON file with team, class and tasks as in docs/api.md; - is the standard input"),
-		id:       f.String("id", "", "send again under this id, which an earlier submit printed"),
-		timeout:  f.Duration("timeout", 10*time.Second, "time from now to the deadline"),
-		team:     f.String("team", "default", "team whose quota pays"),
-		class:    f.String("class", "default", "task class; only targets that serve it are used"),
-		estimate: f.Duration("estimate", 0, "declared run time of each task at speed 1; 0: unknown"),
-		single:   f.Bool("single", false, "a single request of one task"),
-		again:    f.Bool("idempotent", false, "the single request may run again where its outcome is unknown"),
-		spread:   f.Bool("spread-racks", false, "run the tasks in different racks while there are any"),
+		flags:       f,
+		payloads:    f.AllowArguments(),
+		file:        f.String("file", "", "JSON file with team, class and tasks as in docs/api.md; - is the standard input"),
+		id:          f.String("id", "", "send again under this id, which an earlier submit printed"),
+		timeout:     f.Duration("timeout", 10*time.Second, "time from now to the deadline"),
+		team:        f.String("team", "default", "team whose quota pays"),
+		class:       f.String("class", "default", "task class; only targets that serve it are used"),
+		estimate:    f.Duration("estimate", 0, "declared run time of each task at speed 1; 0: unknown"),
+		single:      f.Bool("single", false, "a single request of one task"),
+		idempotent:  f.Bool("idempotent", false, "the single request may run again where its outcome is unknown"),
+		spreadRacks: f.Bool("spread-racks", false, "run the tasks in different racks while there are any"),
 	}
 }
 
@@ -76,7 +77,7 @@
 	if err != nil {
 		return f.fail(err)
 	}
-	id, err := f.identify(ctx, c)
+	id, err := f.submissionID(ctx, c)
 	if err != nil {
 		return f.fail(err)
 	}
@@ -90,29 +91,32 @@
 	return f.printAnswer(answer)
 }
 
-// submission reads the submission from the file or the flags and checks it.
+// submission builds the submission from the file or the flags and validates it. The error is a
+// *fault.Fault.
 func (f *submitFlags) submission() (*job.Submission, error) {
-	s, err := f.read()
+	s, err := f.parse()
 	if err != nil {
 		return nil, err
 	}
 	s.Single = *f.single
-	s.Idempotent = s.Idempotent || *f.again
+	s.Idempotent = s.Idempotent || *f.idempotent
 	return s, s.Validate()
 }
 
-func (f *submitFlags) read() (*job.Submission, error) {
+// parse builds the submission without the flags that apply to a file too.
+func (f *submitFlags) parse() (*job.Submission, error) {
 	if *f.file != "" {
-		return f.readFile()
+		return f.parseFile()
 	}
-	s := &job.Submission{Team: *f.team, Class: *f.class, SpreadRacks: *f.spread}
+	s := &job.Submission{Team: *f.team, Class: *f.class, SpreadRacks: *f.spreadRacks}
 	for _, payload := range *f.payloads {
 		s.Tasks = append(s.Tasks, job.Task{Payload: []byte(payload), EstimateMs: f.estimate.Milliseconds()})
 	}
 	return s, nil
 }
 
-func (f *submitFlags) readFile() (*job.Submission, error) {
+// parseFile decodes the submission from the file of -file or from the standard input.
+func (f *submitFlags) parseFile() (*job.Submission, error) {
 	in := f.env.Stdin
 	if *f.file != "-" {
 		file, err := os.Open(*f.file)
@@ -131,8 +135,9 @@
 	return s, nil
 }
 
-// identify returns the id to submit under: the given one, or one made of a token.
-func (f *submitFlags) identify(ctx context.Context, c *client.Client) (string, error) {
+// submissionID returns the id of -id, or a new one built from a token that it requests from an
+// entry.
+func (f *submitFlags) submissionID(ctx context.Context, c *client.Client) (string, error) {
 	if *f.id != "" {
 		return *f.id, nil
 	}
@@ -143,8 +148,8 @@
 	return client.NewID(token, time.Now().Add(*f.timeout), rand.Text()), nil
 }
 
-// printID prints the id before anything is sent, so that the answer can be asked
-// for (camphorctl status) even where this process ends before it comes.
+// printID prints the id before the submission is sent, so that the answer can be queried with
+// "camphorctl status" even if this process ends before it receives one.
 func (f *submitFlags) printID(id string) {
 	if *f.json {
 		printJSON(f.env.Stdout, struct {
--- a/command/targets.go
+++ b/command/targets.go
@@ -28,31 +28,33 @@
 	if err != nil {
 		return f.fail(err)
 	}
-	known, err := c.Targets(ctx)
+	statuses, err := c.Targets(ctx)
 	if err != nil {
 		return f.fail(err)
 	}
-	f.printTargets(known)
+	f.printTargets(statuses)
 	return ExitDone
 }
 
-func (f *flags) printTargets(known []owner.TargetStatus) {
+// printTargets prints the targets as a table or, with -json, one JSON object per line.
+func (f *flags) printTargets(statuses []owner.TargetStatus) {
 	if *f.json {
-		for _, t := range known {
+		for _, t := range statuses {
 			printJSON(f.env.Stdout, t)
 		}
 		return
 	}
 	table := tabwriter.NewWriter(f.env.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TARGET\tWORKER\tDATA CENTRE\tRACK\tSTATE\tSLOTS\tSPEED\tCREDITS\tATTEMPTS")
-	for _, t := range known {
+	for _, t := range statuses {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%g\t%d\t%d\n", t.Target, t.Worker, orDash(t.DataCentre),
-			orDash(t.Rack), stateOf(t), t.Slots, t.Speed, t.Credits, t.OpenAttempts)
+			orDash(t.Rack), targetState(t), t.Slots, t.Speed, t.Credits, t.OpenAttempts)
 	}
 	table.Flush()
 }
 
-func stateOf(t owner.TargetStatus) string {
+// targetState returns the text of the STATE column.
+func targetState(t owner.TargetStatus) string {
 	switch {
 	case !t.Connected:
 		return "disconnected"
@@ -64,6 +66,7 @@
 	return "up"
 }
 
+// orDash replaces an empty table cell.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
