--- a/apps/camphorrack-agent/main.go
+++ b/apps/camphorrack-agent/main.go
@@ -1,4 +1,4 @@
-// Command camphorrack-agent is the daemon that runs tasks on the target beside it.
+// Command camphorrack-agent is the daemon that runs tasks on the target on the same host.
 package main
 
 import (
--- a/apps/camphorrack-bench/main.go
+++ b/apps/camphorrack-bench/main.go
@@ -1,4 +1,5 @@
-// Command camphorrack-bench measures the policies on real processes over loopback.
+// Command camphorrack-bench measures the scheduling policies with real processes on the loopback
+// interface.
 package main
 
 import (
@@ -26,10 +27,10 @@
 	set.Float64Var(&o.Scale, "scale", 1, "multiplies every task's time, to get as many jobs in less time")
 	set.IntVar(&o.Parallel, "parallel", 1, "runs at a time, each on a fleet of its own")
 	set.BoolVar(&o.Wide, "wide", true, "print every figure before the lines")
-	scenarios := set.String("scenarios", "all", "scenarios, comma separated; \"short\": the short set; \"all\": "+strings.Join(names(), ","))
+	scenarios := set.String("scenarios", "all", "scenarios, comma separated; \"short\": the short set; \"all\": "+strings.Join(scenarioNames(), ","))
 	policies := set.String("policies", "all", "policies, comma separated; \"all\": random,two-choices,first-come,least-work")
-	set.AddCheck("scenarios", func() string { return pickScenarios(&o, *scenarios) })
-	set.AddCheck("policies", func() string { return pickPolicies(&o, *policies) })
+	set.AddCheck("scenarios", func() string { return selectScenarios(&o, *scenarios) })
+	set.AddCheck("policies", func() string { return selectPolicies(&o, *policies) })
 	set.AddCheck("scale", func() string {
 		if o.Scale <= 0 || o.Scale > 1 {
 			return "takes more than 0, up to 1"
@@ -46,7 +47,8 @@
 	}
 }
 
-func names() []string {
+// scenarioNames returns the names that -scenarios accepts, without "all" and "short".
+func scenarioNames() []string {
 	var all []string
 	for _, s := range bench.Scenarios() {
 		all = append(all, s.Name)
@@ -54,17 +56,18 @@
 	return all
 }
 
-// pickScenarios fills the scenarios that a list names; it returns what is wrong, or "".
-func pickScenarios(o *bench.Options, list string) string {
-	wanted := strings.Split(list, ",")
+// selectScenarios sets o.Scenarios from a comma-separated list. It returns an error text, or ""
+// if the list is valid.
+func selectScenarios(o *bench.Options, list string) string {
+	selected := strings.Split(list, ",")
 	switch list {
 	case "all":
-		wanted = names()
+		selected = scenarioNames()
 	case "short":
-		wanted = bench.ShortSet
+		selected = bench.ShortSet
 	}
 	all := bench.Scenarios()
-	for _, name := range wanted {
+	for _, name := range selected {
 		i := slices.IndexFunc(all, func(s bench.Scenario) bool { return s.Name == name })
 		if i < 0 {
 			return "no scenario " + name
@@ -74,8 +77,9 @@
 	return ""
 }
 
-// pickPolicies fills the policies that a list names; it returns what is wrong, or "".
-func pickPolicies(o *bench.Options, list string) string {
+// selectPolicies sets o.Policies from a comma-separated list. It returns an error text, or "" if
+// the list is valid.
+func selectPolicies(o *bench.Options, list string) string {
 	if list == "all" {
 		o.Policies = []owner.Policy{owner.PolicyRandom, owner.PolicyTwoChoices, owner.PolicyFCFS, owner.PolicyLeastWork}
 		return ""
--- a/apps/camphorrack-demo/main.go
+++ b/apps/camphorrack-demo/main.go
@@ -1,5 +1,5 @@
-// Command camphorrack-demo starts a small fleet on loopback, drives it through a
-// failure and checks what callers and targets saw.
+// Command camphorrack-demo starts a small fleet on the loopback interface, submits work while
+// failures are injected, and checks the answers to callers and the task runs at targets.
 package main
 
 import (
@@ -36,11 +36,11 @@
 	options := demo.Options{
 		Bin: *bin, LogDir: *logs, Duration: *duration, Load: *load, Seed: *seed, Chaos: *chaos, Listen: *listen, Out: os.Stdout,
 	}
-	act := demo.Run
+	run := demo.Run
 	if *keep {
-		act = demo.Keep
+		run = demo.Keep
 	}
-	err := act(ctx, options)
+	err := run(ctx, options)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "camphorrack-demo:", err)
--- a/apps/camphorrack-dispatcher/main.go
+++ b/apps/camphorrack-dispatcher/main.go
@@ -1,4 +1,5 @@
-// Command camphorrack-dispatcher is the daemon on entry hosts in front of leased targets.
+// Command camphorrack-dispatcher is the daemon on entry hosts that receives jobs from callers and
+// places their tasks on leased targets.
 package main
 
 import (
--- a/apps/camphorrack-entry/main.go
+++ b/apps/camphorrack-entry/main.go
@@ -1,4 +1,5 @@
-// Command camphorrack-entry is the daemon that callers submit to.
+// Command camphorrack-entry is the daemon that accepts submissions from callers and schedules
+// their tasks.
 package main
 
 import (
--- a/apps/camphorrack-runner/main.go
+++ b/apps/camphorrack-runner/main.go
@@ -1,4 +1,4 @@
-// Command camphorrack-runner is the daemon beside a leased target.
+// Command camphorrack-runner is the daemon that runs tasks on the leased target on the same host.
 package main
 
 import (
--- a/apps/camphorrack-soak/main.go
+++ b/apps/camphorrack-soak/main.go
@@ -1,4 +1,5 @@
-// Command camphorrack-soak plays seeds of the fault soak on this machine.
+// Command camphorrack-soak runs the soak test with injected faults on this machine, once for each
+// seed.
 package main
 
 import (
@@ -38,14 +39,16 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	if !play(ctx, o, *logs, *keep, *first, *count) {
+	if !runSeeds(ctx, o, *logs, *keep, *first, *count) {
 		os.Exit(1)
 	}
 }
 
-// play plays the seeds and reports whether every promise was kept.
-func play(ctx context.Context, o soak.Options, logs string, keep bool, first, count uint64) bool {
-	kept := true
+// runSeeds runs count seeds from first on and reports whether every run was completed without a
+// breach. It stops early when ctx is done. It keeps the logs of failed runs, and those of all runs
+// if keep is set.
+func runSeeds(ctx context.Context, o soak.Options, logs string, keep bool, first, count uint64) bool {
+	passed := true
 	for seed := first; seed < first+count && ctx.Err() == nil; seed++ {
 		dir, err := os.MkdirTemp(logs, fmt.Sprintf("%s-%d-", program, seed))
 		if err != nil {
@@ -56,19 +59,19 @@
 		result, err := soak.Run(ctx, o)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, program+":", err, "logs:", dir)
-			kept = false
+			passed = false
 			continue
 		}
 		fmt.Println(result)
 		if len(result.Breaches) == 0 && !keep {
-			_ = os.RemoveAll(dir) // only failed seeds are looked at
+			_ = os.RemoveAll(dir) // only the logs of failed seeds are needed
 			continue
 		}
-		kept = kept && len(result.Breaches) == 0
+		passed = passed && len(result.Breaches) == 0
 		for _, b := range result.Breaches {
 			fmt.Println("  ", b)
 		}
 		fmt.Println("   logs:", filepath.Clean(dir))
 	}
-	return kept
+	return passed
 }
--- a/apps/camphorrack-standin-log/main.go
+++ b/apps/camphorrack-standin-log/main.go
@@ -1,5 +1,5 @@
-// Command camphorrack-standin-log stands in for the platform's log service in
-// tests and demonstrations. It keeps nothing and is not for production.
+// Command camphorrack-standin-log is an in-memory replacement for the platform's log service in
+// tests and demonstrations. It persists nothing and is not for production.
 package main
 
 import (
--- a/apps/camphorrack-standin-target/main.go
+++ b/apps/camphorrack-standin-target/main.go
@@ -1,4 +1,5 @@
-// Command camphorrack-standin-target stands in for a back end in tests and trials.
+// Command camphorrack-standin-target is a simulated target (the back end that executes tasks) for
+// tests and trials.
 package main
 
 import (
