--- a/internal/fleet/callers_test.go
+++ b/internal/fleet/callers_test.go
@@ -11,156 +11,165 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// verdictAfter is how long past a deadline an entry that can't reach the owner
-// waits before it gives the final verdict.
-const verdictAfter = job.AnswerGrace + 500*time.Millisecond
+// outcomeUnknownAfter is the time after a deadline from which an entry that can't reach the owner
+// reports the outcome as unknown, which is final. It is the delay of package forward.
+const outcomeUnknownAfter = job.AnswerGrace + 500*time.Millisecond
 
-// newSubmission makes a submission owned by e.
-func (w *world) newSubmission(e *entry, tasks int, timeout time.Duration, idempotent bool) *submission {
-	id, err := job.NewID(e.owner.Token(key), w.now.Add(timeout), fmt.Sprintf("s%d", w.nextID()), key)
+// newSubmission creates a submission whose id is owned by e. It is not sent yet.
+func (sim *simulation) newSubmission(e *entry, tasks int, timeout time.Duration, idempotent bool) *submission {
+	id, err := job.NewID(e.owner.Token(idKey), sim.now.Add(timeout), fmt.Sprintf("s%d", sim.nextID()), idKey)
 	if err != nil {
-		w.t.Fatalf("id: %v", err)
+		sim.t.Fatalf("id: %v", err)
 	}
 	s := &job.Submission{ID: id, Team: "team", Class: "check", Idempotent: idempotent, Single: idempotent}
 	for i := range tasks {
-		s.Tasks = append(s.Tasks, job.Task{Payload: payload(id.String(), i), EstimateMs: int64(100 * (i + 1))})
+		s.Tasks = append(s.Tasks, job.Task{Payload: taskPayload(id.String(), i), EstimateMs: int64(100 * (i + 1))})
 	}
-	sub := &submission{sub: s, owner: e}
-	w.subs = append(w.subs, sub)
-	w.byID[id.String()] = sub
+	sub := &submission{request: s, owner: e}
+	sim.submissions = append(sim.submissions, sub)
+	sim.byID[id.String()] = sub
 	return sub
 }
 
-// submit sends a submission, or a copy of it, through an entry. lost means that
-// the answer does not reach the caller.
-func (w *world) submit(sub *submission, via *entry, lost bool) {
-	w.request(sub, via, func() {
-		var seen func(job.Answer)
+// submit sends a submission, or a copy of it, through the entry via. If lost is set, the answer
+// does not reach the caller.
+func (sim *simulation) submit(sub *submission, via *entry, lost bool) {
+	sim.forward(sub, via, func() {
+		var receive func(job.Answer)
 		if lost {
-			seen = func(a job.Answer) { sub.lost = sub.lost || a.State == job.Complete }
+			receive = func(a job.Answer) { sub.answerLost = sub.answerLost || a.State == job.Complete }
 		} else {
-			seen = func(a job.Answer) { w.answered(sub, a) }
+			receive = func(a job.Answer) { sim.checkAnswer(sub, a) }
 		}
-		stop, err := sub.owner.core.Submit(w.now, sub.sub, seen)
+		stop, err := sub.owner.core.Submit(sim.now, sub.request, receive)
 		if err == nil {
 			sub.accepted = true
-			sub.stops = append(sub.stops, stop)
+			sub.stopWaits = append(sub.stopWaits, stop)
 		} else if !lost {
-			w.refused(sub, err)
+			sim.checkRefusal(sub, err)
 		}
 	})
 }
 
-func (w *world) lookup(sub *submission, via *entry) {
-	w.request(sub, via, func() {
-		_, err := sub.owner.core.Await(w.now, sub.sub.ID, func(a job.Answer) { w.answered(sub, a) })
+// lookup requests the answer to a submission through the entry via.
+func (sim *simulation) lookup(sub *submission, via *entry) {
+	sim.forward(sub, via, func() {
+		_, err := sub.owner.core.Await(sim.now, sub.request.ID, func(a job.Answer) { sim.checkAnswer(sub, a) })
 		if err != nil {
-			w.refused(sub, err)
+			sim.checkRefusal(sub, err)
 		}
 	})
 }
 
-func (w *world) cancel(sub *submission, via *entry) {
-	w.request(sub, via, func() {
-		overtakes := !sub.owner.core.HasID(sub.sub.ID)
-		if err := sub.owner.core.Cancel(w.now, sub.sub.ID); err == nil && overtakes {
-			sub.notRun = true // cancelled before it came: it must never start
+// cancel cancels a submission through the entry via.
+func (sim *simulation) cancel(sub *submission, via *entry) {
+	sim.forward(sub, via, func() {
+		overtakes := !sub.owner.core.HasID(sub.request.ID)
+		if err := sub.owner.core.Cancel(sim.now, sub.request.ID); err == nil && overtakes {
+			sub.reportedNotRun = true // the cancellation arrived first, so the submission must never start
 		}
 	})
 }
 
-// request brings a request to the owner as the entries' forwarding does: directly,
-// late where the owner is frozen, or not at all where it is gone.
-func (w *world) request(sub *submission, via *entry, do func()) {
+// forward delivers a request to the owner as package forward does: immediately, when the owner
+// resumes if it is frozen, or not at all if its process has ended.
+func (sim *simulation) forward(sub *submission, via *entry, send func()) {
 	switch {
-	case !w.alive(sub.owner):
+	case !sim.isCurrent(sub.owner):
 		if via != sub.owner {
-			sub.verdict = true
+			sub.failedByOtherEntry = true
 		}
 	case sub.owner.frozen:
-		sub.owner.inbox = append(sub.owner.inbox, do)
-		if via != sub.owner && w.now.After(sub.sub.ID.Deadline.Add(verdictAfter)) {
-			sub.verdict = true
+		sub.owner.heldRequests = append(sub.owner.heldRequests, send)
+		if via != sub.owner && sim.now.After(sub.request.ID.Deadline.Add(outcomeUnknownAfter)) {
+			sub.failedByOtherEntry = true
 		}
 	default:
-		do()
+		send()
 		sub.owner.core.Flush()
 	}
 }
 
-// answered checks a final answer that reached a caller.
-func (w *world) answered(sub *submission, a job.Answer) {
-	id := sub.sub.ID.String()
+// checkAnswer checks a final answer that reached a caller: it must be valid and must not
+// contradict an earlier one.
+func (sim *simulation) checkAnswer(sub *submission, a job.Answer) {
+	id := sub.request.ID.String()
 	if a.ID != id || !a.Final() {
-		w.t.Fatalf("the answer to %s is %+v", id, a)
+		sim.t.Fatalf("the answer to %s is %+v", id, a)
 	}
 	if a.State == job.Complete {
-		w.complete(sub, a)
+		sim.checkComplete(sub, a)
 	}
 	if a.State == job.Failed {
-		w.noteNotRun(sub, a.Failure)
+		sim.checkNotRun(sub, a.Failure)
 	}
-	for _, before := range sub.finals {
+	for _, before := range sub.finalAnswers {
 		if before.State != a.State {
-			w.t.Fatalf("%s is %s after it was %s", id, a.State, before.State)
+			sim.t.Fatalf("%s is %s after it was %s", id, a.State, before.State)
 		}
 	}
-	sub.finals = append(sub.finals, a)
+	sub.finalAnswers = append(sub.finalAnswers, a)
 }
 
-func (w *world) complete(sub *submission, a job.Answer) {
-	id := sub.sub.ID.String()
-	if sub.verdict {
-		w.t.Fatalf("%s is complete after its caller was told that it failed", id)
+// checkComplete checks that a complete answer has every result, is in time and does not contradict
+// a failure that another entry reported.
+func (sim *simulation) checkComplete(sub *submission, a job.Answer) {
+	id := sub.request.ID.String()
+	if sub.failedByOtherEntry {
+		sim.t.Fatalf("%s is complete after another entry reported that it failed", id)
 	}
-	if !w.now.Before(sub.sub.ID.Deadline.Add(job.AnswerGrace)) {
-		w.t.Fatalf("%s is complete after its deadline and the grace", id)
+	if !sim.now.Before(sub.request.ID.Deadline.Add(job.AnswerGrace)) {
+		sim.t.Fatalf("%s is complete after its deadline and the grace period", id)
 	}
 	if sub.lateResult {
-		w.t.Fatalf("%s is complete with a result that came after its deadline", id)
+		sim.t.Fatalf("%s is complete with a result that arrived after its deadline", id)
 	}
-	if len(a.Results) != len(sub.sub.Tasks) {
-		w.t.Fatalf("%s is complete with %d of %d results", id, len(a.Results), len(sub.sub.Tasks))
+	if len(a.Results) != len(sub.request.Tasks) {
+		sim.t.Fatalf("%s is complete with %d of %d results", id, len(a.Results), len(sub.request.Tasks))
 	}
 	for i, r := range a.Results {
-		if !bytes.Equal(r, result(id, i)) {
-			w.t.Fatalf("task %d of %s got the result %q", i, id, r)
+		if !bytes.Equal(r, taskResult(id, i)) {
+			sim.t.Fatalf("task %d of %s got the result %q", i, id, r)
 		}
 	}
 }
 
-func (w *world) refused(sub *submission, err error) {
+// checkRefusal checks a fault that reached a caller instead of an answer.
+func (sim *simulation) checkRefusal(sub *submission, err error) {
 	var f *fault.Fault
 	if !errors.As(err, &f) {
-		w.t.Fatalf("a refusal without a type: %v", err)
+		sim.t.Fatalf("the refusal is not a fault: %v", err)
 	}
 	sub.faults = append(sub.faults, f)
-	w.noteNotRun(sub, f)
+	sim.checkNotRun(sub, f)
 	if f.Code == fault.AnswerExpired {
-		w.expired(sub)
+		sim.checkExpired(sub)
 	}
 }
 
-// expired checks that an answer is said to have been given only where it was, and only
-// once it is no longer given. Ids are forgotten some time later.
-func (w *world) expired(sub *submission) {
-	id := sub.sub.ID
-	if w.now.Before(id.Deadline.Add(job.AnswerGrace)) {
-		w.t.Fatalf("%s is told to be expired within the grace", id)
+// checkExpired checks a fault.AnswerExpired: the answer must have been delivered and must no longer
+// be available. The first condition holds only until the owner removes the id, which is
+// owner.AnswerRetention after the deadline.
+func (sim *simulation) checkExpired(sub *submission) {
+	id := sub.request.ID
+	if sim.now.Before(id.Deadline.Add(job.AnswerGrace)) {
+		sim.t.Fatalf("the answer to %s is reported as expired within the grace period", id)
 	}
-	if !sub.lost && len(sub.finals) == 0 && w.now.Before(id.Deadline.Add(owner.AnswerRetention)) {
-		w.t.Fatalf("%s is told to have been given, and was not", id)
+	if !sub.answerLost && len(sub.finalAnswers) == 0 && sim.now.Before(id.Deadline.Add(owner.AnswerRetention)) {
+		sim.t.Fatalf("the answer to %s is reported as delivered, but was not", id)
 	}
 }
 
-func (w *world) noteNotRun(sub *submission, f *fault.Fault) {
+// checkNotRun checks that no task had started if the fault reports that nothing was run, and
+// records the report, so that checkStart detects a later start.
+func (sim *simulation) checkNotRun(sub *submission, f *fault.Fault) {
 	if !f.NotRun {
 		return
 	}
-	sub.notRun = true
-	for i := range sub.sub.Tasks {
-		if n := w.starts[fmt.Sprintf("%s/%d", sub.sub.ID, i)]; n > 0 {
-			w.t.Fatalf("%s: told \"not run\" (%v) after task %d had started", sub.sub.ID, f, i)
+	sub.reportedNotRun = true
+	for i := range sub.request.Tasks {
+		if n := sim.startCounts[fmt.Sprintf("%s/%d", sub.request.ID, i)]; n > 0 {
+			sim.t.Fatalf("%s: reported as not run (%v) after task %d had started", sub.request.ID, f, i)
 		}
 	}
 }
--- a/internal/fleet/regression_test.go
+++ b/internal/fleet/regression_test.go
@@ -9,40 +9,39 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// An entry is frozen past the deadline of a job with waiting tasks. When it wakes,
-// frames of agents are read before its first tick. It then started the dead job's
-// tasks, agents turned them away as late, and it started them again, a message
-// each round trip, until the tick. Operators saw a burst of thousands of wasted
-// messages after each pause.
+// An entry that was frozen past the deadline of a job with waiting tasks must not start them.
+// After a pause, agents' frames are read before the first tick. If the entry starts tasks of the
+// expired job then, agents reject the starts as late and the entry repeats them once per round
+// trip until the tick: a burst of thousands of useless messages after each pause.
 func TestWakePastDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 1, 1)
-		e := w.entries[0]
-		w.submit(w.newSubmission(e, 5, 50*time.Millisecond, false), e, false)
+		sim := newSimulation(t, 1, 1)
+		e := sim.entries[0]
+		sim.submit(sim.newSubmission(e, 5, 50*time.Millisecond, false), e, false)
 		e.frozen = true
-		w.advance(time.Second)
-		w.deliverAll()
-		a := w.agents[0]
+		sim.advance(time.Second)
+		sim.deliverAll()
+		a := sim.agents[0]
 		for len(a.running) > 0 {
-			w.finish(a, 0, wire.Succeeded)
+			sim.finish(a, 0, wire.Succeeded)
 		}
-		w.wake(e)
-		w.deliverAll()
+		sim.resume(e)
+		sim.deliverAll()
 	})
 }
 
-// An agent's clock is ahead of its entry's. Near a deadline the agent turns every
-// start away as late while the entry still thinks there is time, and the two
-// exchange a start and a refusal each round trip until the deadline.
+// An entry must not repeat a start without end if the agent's clock is ahead of its own. Near a
+// deadline, the agent rejects every start as late while by the entry's clock the deadline is not
+// reached, and the two would exchange a start and a rejection per round trip until the deadline.
 func TestAgentClockAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 1, 1)
-		e, a := w.entries[0], w.agents[0]
-		a.ahead = time.Minute
-		w.submit(w.newSubmission(e, 5, 10*time.Second, false), e, false)
-		w.deliverAll()
+		sim := newSimulation(t, 1, 1)
+		e, a := sim.entries[0], sim.agents[0]
+		a.clockAhead = time.Minute
+		sim.submit(sim.newSubmission(e, 5, 10*time.Second, false), e, false)
+		sim.deliverAll()
 		if starts := e.core.Status().Counts.Starts; starts > 10 {
-			t.Fatalf("%d starts for 5 tasks at one moment", starts)
+			t.Fatalf("%d starts for 5 tasks at the same time", starts)
 		}
 	})
 }
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -10,234 +10,245 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// Anything may happen at any moment, together or twice: processes die, freeze and
-// wake, connections go silent in one direction, frames come late, callers resubmit
-// through any entry and cancel. A user would notice a task that ran twice, a
-// "not run" that ran, two answers that contradict each other, a complete answer
-// that is not whole or late, or a job that is never answered.
+// Random schedules combine faults in any order: processes are killed, frozen and resumed,
+// connections are cut in one direction, frames are late, and callers resubmit through any entry
+// and cancel. The test fails if a task runs twice, if a task that was reported as not run has run,
+// if two answers contradict each other, if a complete answer lacks results or is late, or if a job
+// is never answered.
 func TestSchedules(t *testing.T) {
-	var total tally
+	var total scheduleCounts
 	defer func() { t.Logf("%+v", total) }()
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 2, 3)
+		sim := newSimulation(t, 2, 3)
 		t.Repeat(map[string]func(*rapid.T){
-			"submit":     w.drawSubmit,
-			"submit2":    w.drawSubmit,
-			"resubmit":   w.drawResubmit,
-			"lookup":     w.drawLookup,
-			"cancel":     w.drawCancel,
-			"hangUp":     w.drawHangUp,
-			"deliver":    w.drawDeliver,
-			"deliver2":   w.drawDeliver,
-			"deliver3":   w.drawDeliver,
-			"deliverAll": func(*rapid.T) { w.deliverAll() },
-			"work":       w.drawWork,
-			"work2":      w.drawWork,
-			"mend":       w.drawMend,
-			"finish":     w.drawFinish,
-			"finish2":    w.drawFinish,
-			"advance":    w.drawAdvance,
-			"cut":        w.drawCut,
-			"close":      w.drawClose,
-			"dial":       w.drawDial,
-			"freeze":     w.drawFreeze,
-			"wake":       w.drawWake,
-			"kill":       w.drawKill,
-			"leave":      w.drawLeave,
-			"drain":      w.drawDrain,
-			"retire":     w.drawRetire,
-			"giveUp":     w.drawGiveUp,
-			"giveUp2":    w.drawGiveUp,
+			"submit":     sim.drawSubmit,
+			"submit2":    sim.drawSubmit,
+			"resubmit":   sim.drawResubmit,
+			"lookup":     sim.drawLookup,
+			"cancel":     sim.drawCancel,
+			"hangUp":     sim.drawHangUp,
+			"deliver":    sim.drawDeliver,
+			"deliver2":   sim.drawDeliver,
+			"deliver3":   sim.drawDeliver,
+			"deliverAll": func(*rapid.T) { sim.deliverAll() },
+			"work":       sim.drawProgress,
+			"work2":      sim.drawProgress,
+			"mend":       sim.drawRepair,
+			"finish":     sim.drawFinish,
+			"finish2":    sim.drawFinish,
+			"advance":    sim.drawAdvance,
+			"cut":        sim.drawCut,
+			"close":      sim.drawClose,
+			"dial":       sim.drawDial,
+			"freeze":     sim.drawFreeze,
+			"wake":       sim.drawResume,
+			"kill":       sim.drawKill,
+			"leave":      sim.drawLeave,
+			"drain":      sim.drawDrain,
+			"retire":     sim.drawRetire,
+			"giveUp":     sim.drawCloseRetired,
+			"giveUp2":    sim.drawCloseRetired,
 		})
-		w.settle()
-		total.add(w)
+		sim.quiesce()
+		total.add(sim)
 	})
 }
 
-// tally counts what a run went through.
-type tally struct{ Schedules, Jobs, Accepted, Starts, Answers, Refusals, Kills, Freezes, Cuts, Closes, Leaves, GivenUp int }
+// scheduleCounts counts jobs, answers and faults over all schedules, for the test's log.
+type scheduleCounts struct{ Schedules, Jobs, Accepted, Starts, Answers, Refusals, Kills, Freezes, Cuts, Closes, Leaves, RetiredSessionsClosed int }
 
-func (s *tally) add(w *world) {
+// add adds the counts of one schedule.
+func (s *scheduleCounts) add(sim *simulation) {
 	s.Schedules++
-	s.Jobs += len(w.subs)
-	s.Starts += len(w.starts)
-	for _, sub := range w.subs {
+	s.Jobs += len(sim.submissions)
+	s.Starts += len(sim.startCounts)
+	for _, sub := range sim.submissions {
 		if sub.accepted {
 			s.Accepted++
 		}
-		s.Answers += len(sub.finals)
+		s.Answers += len(sub.finalAnswers)
 		s.Refusals += len(sub.faults)
 	}
-	s.Kills += w.faults.Kills
-	s.Freezes += w.faults.Freezes
-	s.Cuts += w.faults.Cuts
-	s.Closes += w.faults.Closes
-	s.Leaves += w.faults.Leaves
-	s.GivenUp += w.faults.GivenUp
+	s.Kills += sim.counts.Kills
+	s.Freezes += sim.counts.Freezes
+	s.Cuts += sim.counts.Cuts
+	s.Closes += sim.counts.Closes
+	s.Leaves += sim.counts.Leaves
+	s.RetiredSessionsClosed += sim.counts.RetiredSessionsClosed
 }
 
-func (w *world) anyEntry(t *rapid.T) *entry { return rapid.SampledFrom(w.entries).Draw(t, "entry") }
-func (w *world) anyAgent(t *rapid.T) *agent { return rapid.SampledFrom(w.agents).Draw(t, "agent") }
+func (sim *simulation) anyEntry(t *rapid.T) *entry {
+	return rapid.SampledFrom(sim.entries).Draw(t, "entry")
+}
+func (sim *simulation) anyAgent(t *rapid.T) *agent {
+	return rapid.SampledFrom(sim.agents).Draw(t, "agent")
+}
 
-func (w *world) anySub(t *rapid.T) *submission {
-	if len(w.subs) == 0 {
+func (sim *simulation) anySubmission(t *rapid.T) *submission {
+	if len(sim.submissions) == 0 {
 		t.Skip("nothing submitted")
 	}
-	return rapid.SampledFrom(w.subs).Draw(t, "submission")
+	return rapid.SampledFrom(sim.submissions).Draw(t, "submission")
 }
 
-func (w *world) anyLink(t *rapid.T) *link {
-	if len(w.links) == 0 {
-		t.Skip("no link")
+func (sim *simulation) anyLink(t *rapid.T) *link {
+	if len(sim.links) == 0 {
+		t.Skip("no connection")
 	}
-	return rapid.SampledFrom(w.links).Draw(t, "link")
+	return rapid.SampledFrom(sim.links).Draw(t, "link")
 }
 
-func (w *world) drawSubmit(t *rapid.T) {
+func (sim *simulation) drawSubmit(t *rapid.T) {
 	tasks := rapid.IntRange(1, 5).Draw(t, "tasks")
 	idempotent := tasks == 1 && rapid.Bool().Draw(t, "idempotent")
 	timeout := time.Duration(rapid.IntRange(50, 4000).Draw(t, "timeout")) * time.Millisecond
-	sub := w.newSubmission(w.anyEntry(t), tasks, timeout, idempotent)
-	sub.sub.Tasks[0].Demand.MemoryMB = rapid.SampledFrom([]int{0, 0, 0, 3, 6}).Draw(t, "memory")
+	sub := sim.newSubmission(sim.anyEntry(t), tasks, timeout, idempotent)
+	sub.request.Tasks[0].Demand.MemoryMB = rapid.SampledFrom([]int{0, 0, 0, 3, 6}).Draw(t, "memory")
 	if rapid.IntRange(0, 9).Draw(t, "cancelFirst") == 0 {
-		w.cancel(sub, w.anyEntry(t))
+		sim.cancel(sub, sim.anyEntry(t))
 	}
-	w.submit(sub, w.anyEntry(t), rapid.Bool().Draw(t, "lost"))
+	sim.submit(sub, sim.anyEntry(t), rapid.Bool().Draw(t, "lost"))
 }
 
-func (w *world) drawResubmit(t *rapid.T) {
-	w.submit(w.anySub(t), w.anyEntry(t), rapid.Bool().Draw(t, "lost"))
+func (sim *simulation) drawResubmit(t *rapid.T) {
+	sim.submit(sim.anySubmission(t), sim.anyEntry(t), rapid.Bool().Draw(t, "lost"))
 }
 
-func (w *world) drawLookup(t *rapid.T) { w.lookup(w.anySub(t), w.anyEntry(t)) }
-func (w *world) drawCancel(t *rapid.T) { w.cancel(w.anySub(t), w.anyEntry(t)) }
+func (sim *simulation) drawLookup(t *rapid.T) { sim.lookup(sim.anySubmission(t), sim.anyEntry(t)) }
+func (sim *simulation) drawCancel(t *rapid.T) { sim.cancel(sim.anySubmission(t), sim.anyEntry(t)) }
 
-// drawHangUp has the callers of a submission leave.
-func (w *world) drawHangUp(t *rapid.T) {
-	sub := w.anySub(t)
-	for _, stop := range sub.stops {
+// drawHangUp ends the waits of all callers of a submission, as if they had disconnected.
+func (sim *simulation) drawHangUp(t *rapid.T) {
+	sub := sim.anySubmission(t)
+	for _, stop := range sub.stopWaits {
 		stop()
 	}
-	sub.stops = nil
+	sub.stopWaits = nil
 }
 
-func (w *world) drawDeliver(t *rapid.T) {
-	l := w.anyLink(t)
+func (sim *simulation) drawDeliver(t *rapid.T) {
+	l := sim.anyLink(t)
 	if rapid.Bool().Draw(t, "toEntry") {
-		w.deliverToEntry(l)
+		sim.deliverToEntry(l)
 	} else {
-		w.deliverToAgent(l)
+		sim.deliverToAgent(l)
 	}
 }
 
-func (w *world) drawFinish(t *rapid.T) {
-	a := w.anyAgent(t)
+// drawFinish ends a running task with a random outcome.
+func (sim *simulation) drawFinish(t *rapid.T) {
+	a := sim.anyAgent(t)
 	if len(a.running) == 0 || a.frozen {
-		t.Skip("nothing runs")
+		t.Skip("no task is running")
 	}
 	i := rapid.IntRange(0, len(a.running)-1).Draw(t, "call")
 	state := rapid.SampledFrom([]wire.AttemptState{
 		wire.Succeeded, wire.Succeeded, wire.Succeeded, wire.FailedRun, wire.Unknown, wire.NotRun,
 	}).Draw(t, "outcome")
-	w.finish(a, i, state)
+	sim.finish(a, i, state)
 }
 
-func (w *world) drawAdvance(t *rapid.T) {
-	most := rapid.SampledFrom([]int{20, 20, 200, 1500}).Draw(t, "most")
-	w.advance(time.Duration(rapid.IntRange(1, most).Draw(t, "ms")) * time.Millisecond)
+func (sim *simulation) drawAdvance(t *rapid.T) {
+	maxMs := rapid.SampledFrom([]int{20, 20, 200, 1500}).Draw(t, "most")
+	sim.advance(time.Duration(rapid.IntRange(1, maxMs).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (w *world) advance(d time.Duration) {
-	w.now = w.now.Add(d)
-	for _, e := range w.entries {
+// advance moves the time forward and ticks every process that is not frozen.
+func (sim *simulation) advance(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	for _, e := range sim.entries {
 		if !e.frozen {
-			e.core.Tick(w.now)
+			e.core.Tick(sim.now)
 			e.core.Flush()
 		}
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		if !a.frozen {
-			a.table.Tick(w.now)
+			a.table.Tick(sim.now)
 			a.table.Flush()
 		}
 	}
 }
 
-// drawWork lets the fleet get on: frames arrive, and what runs succeeds.
-func (w *world) drawWork(t *rapid.T) {
+// drawProgress runs the fleet without faults for a few rounds: all frames that can be delivered
+// are, and running tasks succeed.
+func (sim *simulation) drawProgress(t *rapid.T) {
 	for range rapid.IntRange(1, 3).Draw(t, "rounds") {
-		w.deliverAll()
-		w.finishAll()
+		sim.deliverAll()
+		sim.finishAll()
 	}
-	w.deliverAll()
+	sim.deliverAll()
 }
 
-// drawMend ends all cuts and pauses and lets every agent dial every entry.
-func (w *world) drawMend(*rapid.T) {
-	w.drawWake(nil)
-	for _, a := range w.agents {
-		for _, e := range w.entries {
-			w.dial(a, e)
+// drawRepair resumes all processes and makes every agent dial every entry anew, which replaces
+// connections that are cut.
+func (sim *simulation) drawRepair(*rapid.T) {
+	sim.drawResume(nil)
+	for _, a := range sim.agents {
+		for _, e := range sim.entries {
+			sim.dial(a, e)
 		}
 	}
-	w.deliverAll()
+	sim.deliverAll()
 }
 
-func (w *world) drawCut(t *rapid.T) {
-	w.faults.Cuts++
-	l := w.anyLink(t)
-	l.cutEntry = rapid.Bool().Draw(t, "toEntry")
-	l.cutAgent = rapid.Bool().Draw(t, "toAgent")
+// drawCut stops the frames of a connection in one direction, in both or in neither.
+func (sim *simulation) drawCut(t *rapid.T) {
+	sim.counts.Cuts++
+	l := sim.anyLink(t)
+	l.toEntryCut = rapid.Bool().Draw(t, "toEntry")
+	l.toAgentCut = rapid.Bool().Draw(t, "toAgent")
 }
 
-func (w *world) drawClose(t *rapid.T) {
-	w.faults.Closes++
-	l := w.anyLink(t)
+func (sim *simulation) drawClose(t *rapid.T) {
+	sim.counts.Closes++
+	l := sim.anyLink(t)
 	if rapid.Bool().Draw(t, "entrySide") {
-		w.closeEntrySide(l)
+		sim.closeEntrySide(l)
 	} else {
-		w.closeAgentSide(l)
+		sim.closeAgentSide(l)
 	}
 }
 
-func (w *world) drawDial(t *rapid.T) {
-	a := w.anyAgent(t)
+func (sim *simulation) drawDial(t *rapid.T) {
+	a := sim.anyAgent(t)
 	if a.frozen {
 		t.Skip("frozen")
 	}
-	w.dial(a, w.anyEntry(t))
+	sim.dial(a, sim.anyEntry(t))
 }
 
-// drawRetire has an agent call its credits back from an entry, or take part again.
-func (w *world) drawRetire(t *rapid.T) {
-	l := w.anyLink(t)
-	if !l.agentOpen || l.agent.frozen || w.agents[l.agent.slot] != l.agent {
-		t.Skip("no live agent on it")
+// drawRetire makes an agent retire its session with an entry, which recalls the unspent credits,
+// or use the session again.
+func (sim *simulation) drawRetire(t *rapid.T) {
+	l := sim.anyLink(t)
+	if !l.agentOpen || l.agent.frozen || sim.agents[l.agent.index] != l.agent {
+		t.Skip("the connection has no running agent")
 	}
 	l.retired = rapid.IntRange(0, 3).Draw(t, "back") > 0
 	l.agent.table.SetRetired(attempt.ConnID(l.id), l.retired)
 	l.agent.table.Flush()
 }
 
-// drawGiveUp has agents close the sessions that they retired and that are quiet.
-// Nothing may hang on one: a start that is lost with it is asked about on the next
-// connection, and an agent that prefers other entries makes none.
-func (w *world) drawGiveUp(*rapid.T) {
-	for _, l := range w.links {
-		if !l.retired || !l.agentOpen || l.agent.frozen || w.agents[l.agent.slot] != l.agent ||
+// drawCloseRetired makes agents close their retired sessions for which CanClose is true. The entry
+// must have no open attempt at such an agent: it queries the outcome of a lost start on the next
+// connection only, and an agent that prefers other entries does not open one.
+func (sim *simulation) drawCloseRetired(*rapid.T) {
+	for _, l := range sim.links {
+		if !l.retired || !l.agentOpen || l.agent.frozen || sim.agents[l.agent.index] != l.agent ||
 			!l.agent.table.CanClose(attempt.ConnID(l.id)) {
 			continue
 		}
-		if n := w.openAt(l.entry, l.agent); n > 0 && w.alive(l.entry) {
-			w.t.Fatalf("entry %d has %d attempts at agent %d, which gives its session up", l.entry.slot, n, l.agent.slot)
+		if n := sim.openAttempts(l.entry, l.agent); n > 0 && sim.isCurrent(l.entry) {
+			sim.t.Fatalf("entry %d has %d open attempts at agent %d, which closes its retired session", l.entry.index, n, l.agent.index)
 		}
-		w.faults.GivenUp++
-		w.closeAgentSide(l)
+		sim.counts.RetiredSessionsClosed++
+		sim.closeAgentSide(l)
 	}
 }
 
-// openAt is the number of attempts at an agent that the entry has not settled.
-func (w *world) openAt(e *entry, a *agent) int {
+// openAttempts returns the number of attempts at an agent whose outcome the entry does not know.
+func (sim *simulation) openAttempts(e *entry, a *agent) int {
 	for _, target := range e.core.Targets() {
 		if target.Incarnation == a.incarnation.String() {
 			return target.OpenAttempts
@@ -246,129 +257,133 @@
 	return 0
 }
 
-func (w *world) drawFreeze(t *rapid.T) {
-	w.faults.Freezes++
+func (sim *simulation) drawFreeze(t *rapid.T) {
+	sim.counts.Freezes++
 	if rapid.Bool().Draw(t, "anEntry") {
-		w.anyEntry(t).frozen = true
+		sim.anyEntry(t).frozen = true
 	} else {
-		w.anyAgent(t).frozen = true
+		sim.anyAgent(t).frozen = true
 	}
 }
 
-func (w *world) drawWake(*rapid.T) {
-	for _, e := range w.entries {
-		w.wake(e)
+func (sim *simulation) drawResume(*rapid.T) {
+	for _, e := range sim.entries {
+		sim.resume(e)
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		a.frozen = false
 	}
 }
 
-// wake lets a frozen entry go on where it stopped: requests that came meanwhile
-// are served before its first tick, as a real process may do.
-func (w *world) wake(e *entry) {
+// resume unfreezes an entry. Requests that arrived in the meantime are handled before its first
+// tick, as in a real process.
+func (sim *simulation) resume(e *entry) {
 	if !e.frozen {
 		return
 	}
 	e.frozen = false
-	inbox := e.inbox
-	e.inbox = nil
-	for _, do := range inbox {
-		do()
+	held := e.heldRequests
+	e.heldRequests = nil
+	for _, send := range held {
+		send()
 	}
 	e.core.Flush()
 }
 
-func (w *world) drawKill(t *rapid.T) {
+// drawKill replaces an entry or an agent by a new process without state.
+func (sim *simulation) drawKill(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "really") > 0 {
-		t.Skip("a killed process forgets, so it is rarer than the rest")
+		t.Skip("skipped to make kills rarer than other faults, because a killed process loses its state")
 	}
-	w.faults.Kills++
+	sim.counts.Kills++
 	if rapid.IntRange(0, 2).Draw(t, "what") == 0 {
-		w.startEntry(w.anyEntry(t).slot)
+		sim.startEntry(sim.anyEntry(t).index)
 	} else {
-		w.startAgent(w.anyAgent(t).slot)
+		sim.startAgent(sim.anyAgent(t).index)
 	}
 }
 
-func (w *world) drawLeave(t *rapid.T) {
-	w.faults.Leaves++
-	a := w.anyAgent(t)
+// drawLeave changes the state of a target: leaving or not, down or not, and its capacity.
+func (sim *simulation) drawLeave(t *rapid.T) {
+	sim.counts.Leaves++
+	a := sim.anyAgent(t)
 	a.target.Leaving = rapid.Bool().Draw(t, "leaving")
 	switch {
 	case !a.target.Leaving:
-		a.leftAt = time.Time{}
-	case a.leftAt.IsZero():
-		a.leftAt = w.now
+		a.leavingSince = time.Time{}
+	case a.leavingSince.IsZero():
+		a.leavingSince = sim.now
 	}
 	a.target.Capacity.MemoryMB = rapid.SampledFrom([]int{4, 4, 8}).Draw(t, "memory")
 	a.target.Down = rapid.IntRange(0, 3).Draw(t, "down") == 0
-	a.table.SetTarget(w.now, a.target)
+	a.table.SetTarget(sim.now, a.target)
 	a.table.Flush()
 }
 
-func (w *world) drawDrain(t *rapid.T) {
+func (sim *simulation) drawDrain(t *rapid.T) {
 	if rapid.IntRange(0, 4).Draw(t, "really") > 0 {
-		t.Skip("drain is for good, so it is rare")
+		t.Skip("skipped to make drains rare, because they are permanent")
 	}
-	w.anyEntry(t).core.Drain(w.now)
+	sim.anyEntry(t).core.Drain(sim.now)
 }
 
-// settle mends everything, lets time pass every deadline and checks that nothing
-// was left behind: each accepted submission answered, no slot and no attempt held.
-func (w *world) settle() {
-	w.drawWake(nil)
-	for _, l := range w.links {
-		w.closeEntrySide(l)
-		w.closeAgentSide(l)
-	}
-	for _, a := range w.agents {
-		a.target.Leaving, a.target.Down, a.leftAt = false, false, time.Time{}
-		a.table.SetTarget(w.now, a.target)
-		for _, e := range w.entries {
-			w.dial(a, e)
+// quiesce removes all faults, advances the time past every deadline and checks the final state:
+// each accepted submission is answered and no slot or attempt is in use.
+func (sim *simulation) quiesce() {
+	sim.drawResume(nil)
+	for _, l := range sim.links {
+		sim.closeEntrySide(l)
+		sim.closeAgentSide(l)
+	}
+	for _, a := range sim.agents {
+		a.target.Leaving, a.target.Down, a.leavingSince = false, false, time.Time{}
+		a.table.SetTarget(sim.now, a.target)
+		for _, e := range sim.entries {
+			sim.dial(a, e)
 		}
 	}
-	w.deliverAll()
-	w.advance(5 * time.Second)
+	sim.deliverAll()
+	sim.advance(5 * time.Second)
 	for range 200 {
-		w.deliverAll()
-		w.finishAll()
+		sim.deliverAll()
+		sim.finishAll()
 	}
-	w.advance(10 * time.Millisecond)
-	w.deliverAll()
-	w.checkSettled()
+	sim.advance(10 * time.Millisecond)
+	sim.deliverAll()
+	sim.checkQuiescent()
 }
 
-func (w *world) finishAll() {
-	for _, a := range w.agents {
+// finishAll lets every running task succeed, except at frozen agents.
+func (sim *simulation) finishAll() {
+	for _, a := range sim.agents {
 		for !a.frozen && len(a.running) > 0 {
-			w.finish(a, 0, wire.Succeeded)
+			sim.finish(a, 0, wire.Succeeded)
 		}
 	}
 }
 
-func (w *world) checkSettled() {
-	for _, e := range w.entries {
+// checkQuiescent checks the final state of a schedule; see quiesce.
+func (sim *simulation) checkQuiescent() {
+	for _, e := range sim.entries {
 		status := e.core.Status()
 		if !e.core.Idle() || status.OpenAttempts > 0 || status.WaitingTasks > 0 {
-			w.t.Fatalf("entry %d still holds %+v", e.slot, status)
+			sim.t.Fatalf("entry %d is not idle: %+v", e.index, status)
 		}
 	}
-	for _, s := range w.subs {
-		if !s.accepted || !w.alive(s.owner) {
+	for _, s := range sim.submissions {
+		if !s.accepted || !sim.isCurrent(s.owner) {
 			continue
 		}
-		before := len(s.finals) + len(s.faults)
-		w.lookup(s, s.owner)
-		if len(s.finals)+len(s.faults) == before {
-			w.t.Fatalf("%s has no answer", s.sub.ID)
+		before := len(s.finalAnswers) + len(s.faults)
+		sim.lookup(s, s.owner)
+		if len(s.finalAnswers)+len(s.faults) == before {
+			sim.t.Fatalf("%s has no answer", s.request.ID)
 		}
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		status := a.table.Status()
 		if status.Running > 0 || status.UnspentCredits != a.target.Slots {
-			w.t.Fatalf("agent %d does not have every slot granted again: %+v", a.slot, status)
+			sim.t.Fatalf("agent %d has not granted all of its slots again: %+v", a.index, status)
 		}
 	}
 }
--- a/internal/fleet/world_test.go
+++ b/internal/fleet/world_test.go
@@ -1,6 +1,6 @@
-// Package fleet_test drives the control state of entries and agents together,
-// under random schedules of kills, cuts, freezes, lost and late frames, and checks
-// what callers and targets see. There is no network and no real time in it.
+// Package fleet_test simulates a fleet: it runs the control state of entries and agents together
+// under random schedules of kills, cuts, freezes, lost and late frames, and checks the answers to
+// callers and the task starts at targets. It uses no network and a simulated clock.
 package fleet_test
 
 import (
@@ -21,23 +21,26 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// The schedules are cheap; the library's defaults leave rare orders out.
+// Number of schedules, and of steps per schedule. Schedules run fast, and the defaults of rapid are
+// too low to reach rare orders of events.
 const (
-	checks = "2000"
-	steps  = "80"
+	defaultChecks = "2000"
+	defaultSteps  = "80"
 )
 
 func init() {
 	invariant.SetCrashOnBreach(true)
-	// Both are numbers; the command line is read later and wins.
-	_ = flag.Set("rapid.checks", checks)
-	_ = flag.Set("rapid.steps", steps)
+	// The errors are ignored because both values are numbers. Flags on the command line are parsed
+	// later and take precedence.
+	_ = flag.Set("rapid.checks", defaultChecks)
+	_ = flag.Set("rapid.steps", defaultSteps)
 }
 
-var key = job.Key("0123456789abcdef")
+var idKey = job.Key("0123456789abcdef")
 
-// world is a fleet of fakes around the real control state.
-type world struct {
+// simulation is a fleet in which the control state of entries and agents is real, and processes,
+// connections, targets and time are simulated.
+type simulation struct {
 	t       *rapid.T
 	now     time.Time
 	entries []*entry
@@ -45,342 +48,360 @@
 	links   []*link
 	lastID  uint64
 
-	subs     []*submission
-	byID     map[string]*submission
-	starts   map[string]int       // "job/task" -> starts at targets
-	begunFor map[attemptOf]taskOf // what attempts began for
-	reported map[taskOf]bool      // tasks of which a success has reached the owner
-	faults   tally
+	submissions     []*submission
+	byID            map[string]*submission
+	startCounts     map[string]int        // "job/task" -> starts at targets
+	taskByAttempt   map[attemptID]taskRef // the task that each attempt has started
+	successReported map[taskRef]bool      // tasks whose success has been reported to the owner
+	counts          scheduleCounts
 }
 
-// entry is one process of an entry; a restart replaces it.
+// entry is one process of an entry. After a restart another one has its index.
 type entry struct {
-	w      *world
-	slot   int
-	core   *owner.Core
-	owner  job.Owner
-	frozen bool
-	inbox  []func() // requests that came while it was frozen
+	simulation   *simulation
+	index        int
+	core         *owner.Core
+	owner        job.Owner
+	frozen       bool
+	heldRequests []func() // requests that arrived while it was frozen
 }
 
-// agent is one process of an agent with its target.
+// agent is one process of an agent, with its target. After a restart another one has its index.
 type agent struct {
-	w           *world
-	slot        int
-	incarnation job.Incarnation
-	table       *attempt.Table
-	target      wire.Target
-	frozen      bool
-	ahead       time.Duration // of its clock
-	leftAt      time.Time     // since when its target is leaving
-	running     []call
+	simulation   *simulation
+	index        int
+	incarnation  job.Incarnation
+	table        *attempt.Table
+	target       wire.Target
+	frozen       bool
+	clockAhead   time.Duration // offset of its clock from the simulation's
+	leavingSince time.Time     // since when its target has been leaving; zero if it is not
+	running      []runningCall
 }
 
-type call struct {
+// runningCall is a task that runs at a target.
+type runningCall struct {
 	key   attempt.Key
 	start wire.Start
 }
 
-// link is one connection. A cut direction holds its frames back: they may come
-// late, or never.
+// link is one connection. While a direction is cut, its frames are queued; they arrive late, or
+// never if the connection is closed before.
 type link struct {
-	id        uint64
-	entry     *entry
-	agent     *agent
-	toEntry   [][]byte
-	toAgent   [][]byte
-	entryOpen bool
-	agentOpen bool
-	cutEntry  bool
-	cutAgent  bool
-	// A side that closes a connection itself may still be handed frames that were
-	// read from it before.
-	entryLate bool
-	agentLate bool
-	retired   bool // the agent called its credits back
+	id         uint64
+	entry      *entry
+	agent      *agent
+	toEntry    [][]byte
+	toAgent    [][]byte
+	entryOpen  bool
+	agentOpen  bool
+	toEntryCut bool
+	toAgentCut bool
+	// A side that closes the connection itself is closing until it is notified of the end. Frames
+	// that were read before may still be delivered to it.
+	entryClosing bool
+	agentClosing bool
+	retired      bool // the agent has retired the session and recalled its credits
 }
 
-// submission is what the callers know of one id.
+// submission is one submission and what its callers have been told.
 type submission struct {
-	sub      *job.Submission
-	owner    *entry
-	accepted bool
-	finals   []job.Answer
-	faults   []*fault.Fault
-	notRun   bool     // somebody was told "not run"
-	verdict  bool     // an entry that is not the owner gave the final verdict
-	lost     bool     // a complete answer did not reach its caller
-	stops    []func() // end the waits of callers that are still there
-	// lateResult says that a task's result reached the owner after the deadline.
+	request            *job.Submission
+	owner              *entry
+	accepted           bool
+	finalAnswers       []job.Answer
+	faults             []*fault.Fault
+	reportedNotRun     bool     // a caller was told that nothing was run
+	failedByOtherEntry bool     // an entry that is not the owner reported a failure, which is final
+	answerLost         bool     // a complete answer did not reach its caller
+	stopWaits          []func() // end the waits of callers that are still connected
+	// lateResult is set if the result of a task reached the owner after the deadline.
 	lateResult bool
 }
 
-// attemptOf names an attempt among all entries.
-type attemptOf struct {
+// attemptID identifies an attempt in the whole fleet.
+type attemptID struct {
 	entry job.Incarnation
 	seq   uint64
 }
 
-type taskOf struct {
+// taskRef identifies a task of a submission.
+type taskRef struct {
 	sub   *submission
 	index int
 }
 
-func newWorld(t *rapid.T, entries, agents int) *world {
-	w := &world{t: t, now: time.UnixMilli(1_800_000_000_000), byID: map[string]*submission{}, starts: map[string]int{},
-		begunFor: map[attemptOf]taskOf{}, reported: map[taskOf]bool{}}
+// newSimulation starts entries and agents, all connected and past their start-up.
+func newSimulation(t *rapid.T, entries, agents int) *simulation {
+	sim := &simulation{t: t, now: time.UnixMilli(1_800_000_000_000), byID: map[string]*submission{}, startCounts: map[string]int{},
+		taskByAttempt: map[attemptID]taskRef{}, successReported: map[taskRef]bool{}}
 	for i := range entries {
-		w.entries = append(w.entries, nil)
-		w.startEntry(i)
+		sim.entries = append(sim.entries, nil)
+		sim.startEntry(i)
 	}
 	for i := range agents {
-		w.agents = append(w.agents, nil)
-		w.startAgent(i)
+		sim.agents = append(sim.agents, nil)
+		sim.startAgent(i)
 		for j := range entries {
-			w.dial(w.agents[i], w.entries[j])
+			sim.dial(sim.agents[i], sim.entries[j])
 		}
 	}
-	w.deliverAll()
-	w.advance(5 * time.Second) // past the time in which an entry waits for its agents
-	return w
+	sim.deliverAll()
+	sim.advance(5 * time.Second) // longer than a new entry waits for its agents to connect
+	return sim
 }
 
-func (w *world) nextID() uint64 {
-	w.lastID++
-	return w.lastID
+func (sim *simulation) nextID() uint64 {
+	sim.lastID++
+	return sim.lastID
 }
 
-func (w *world) startEntry(slot int) {
-	e := &entry{w: w, slot: slot}
+// startEntry starts a new process as the entry with the index; an earlier one has ended.
+func (sim *simulation) startEntry(index int) {
+	e := &entry{simulation: sim, index: index}
 	e.owner = job.Owner{
-		Incarnation: job.Incarnation(1000 + w.nextID()),
-		Addr:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(7000+slot)),
+		Incarnation: job.Incarnation(1000 + sim.nextID()),
+		Addr:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(7000+index)),
 	}
 	e.core = owner.New(owner.Options{Owner: e.owner, Outbox: e, Log: logr.Discard()})
-	e.core.Tick(w.now)
-	w.entries[slot] = e
+	e.core.Tick(sim.now)
+	sim.entries[index] = e
 }
 
-func (w *world) startAgent(slot int) {
-	a := &agent{w: w, slot: slot, incarnation: job.Incarnation(2000 + w.nextID())}
-	a.target = wire.Target{Name: fmt.Sprintf("target-%d", slot), Slots: 2, Speed: float64(slot + 1), Capacity: job.Demand{MemoryMB: 4}}
+// startAgent starts a new process as the agent with the index; an earlier one has ended.
+func (sim *simulation) startAgent(index int) {
+	a := &agent{simulation: sim, index: index, incarnation: job.Incarnation(2000 + sim.nextID())}
+	a.target = wire.Target{Name: fmt.Sprintf("target-%d", index), Slots: 2, Speed: float64(index + 1), Capacity: job.Demand{MemoryMB: 4}}
 	a.table = attempt.New(attempt.Options{Incarnation: a.incarnation, Log: logr.Discard(), Outbox: a})
-	a.table.SetTarget(w.now, a.target)
-	w.agents[slot] = a
+	a.table.SetTarget(sim.now, a.target)
+	sim.agents[index] = a
 }
 
 // Send implements owner.Outbox.
 func (e *entry) Send(conn owner.ConnID, f *wire.ToAgent) {
 	b, err := wire.Encode(f)
 	if err != nil {
-		e.w.t.Fatalf("encode: %v", err)
+		e.simulation.t.Fatalf("encode: %v", err)
 	}
-	if l := e.w.link(uint64(conn)); l.entryOpen {
+	if l := e.simulation.link(uint64(conn)); l.entryOpen {
 		l.toAgent = append(l.toAgent, b)
 	}
 }
 
 // Close implements owner.Outbox.
 func (e *entry) Close(conn owner.ConnID) {
-	l := e.w.link(uint64(conn))
-	l.entryOpen, l.entryLate = false, true
+	l := e.simulation.link(uint64(conn))
+	l.entryOpen, l.entryClosing = false, true
 }
 
-func (a *agent) now() time.Time { return a.w.now.Add(a.ahead) }
+// now returns the time by the agent's clock.
+func (a *agent) now() time.Time { return a.simulation.now.Add(a.clockAhead) }
 
 // Send implements attempt.Outbox.
 func (a *agent) Send(conn attempt.ConnID, f *wire.ToEntry) {
 	b, err := wire.Encode(f)
 	if err != nil {
-		a.w.t.Fatalf("encode: %v", err)
+		a.simulation.t.Fatalf("encode: %v", err)
 	}
-	if l := a.w.link(uint64(conn)); l.agentOpen {
+	if l := a.simulation.link(uint64(conn)); l.agentOpen {
 		l.toEntry = append(l.toEntry, b)
 	}
 }
 
 // Close implements attempt.Outbox.
 func (a *agent) Close(conn attempt.ConnID) {
-	l := a.w.link(uint64(conn))
-	l.agentOpen, l.agentLate = false, true
+	l := a.simulation.link(uint64(conn))
+	l.agentOpen, l.agentClosing = false, true
 }
 
-// Run implements attempt.Outbox: the target begins a task.
+// Run implements attempt.Outbox. The target starts the task.
 func (a *agent) Run(k attempt.Key, s wire.Start) {
-	a.running = append(a.running, call{k, s})
-	a.w.begunFor[attemptOf{k.Owner, k.Seq}] = taskOf{a.w.byID[s.Job], s.Task}
-	a.w.begun(a, s)
+	a.running = append(a.running, runningCall{k, s})
+	a.simulation.taskByAttempt[attemptID{k.Owner, k.Seq}] = taskRef{a.simulation.byID[s.Job], s.Task}
+	a.simulation.checkStart(a, s)
 }
 
-// Abort implements attempt.Outbox. A target may or may not notice; the call's end
-// is drawn like any other.
+// Abort implements attempt.Outbox. It does nothing, because a target may ignore an abort; the call
+// ends with a random outcome like any other.
 func (a *agent) Abort(attempt.Key) {}
 
-func (w *world) link(id uint64) *link {
-	for _, l := range w.links {
+func (sim *simulation) link(id uint64) *link {
+	for _, l := range sim.links {
 		if l.id == id {
 			return l
 		}
 	}
-	w.t.Fatalf("no link %d", id)
+	sim.t.Fatalf("no link %d", id)
 	return nil
 }
 
-func (w *world) dial(a *agent, e *entry) {
-	l := &link{id: w.nextID(), entry: e, agent: a, entryOpen: true, agentOpen: true}
+// dial opens a connection from an agent to an entry and sends the Hello frame.
+func (sim *simulation) dial(a *agent, e *entry) {
+	l := &link{id: sim.nextID(), entry: e, agent: a, entryOpen: true, agentOpen: true}
 	hello := &wire.ToEntry{Hello: &wire.Hello{
-		Version: wire.Version, Incarnation: a.incarnation, Worker: fmt.Sprintf("worker-%d", a.slot), Target: a.target,
+		Version: wire.Version, Incarnation: a.incarnation, Worker: fmt.Sprintf("worker-%d", a.index), Target: a.target,
 	}}
 	b, err := wire.Encode(hello)
 	if err != nil {
-		w.t.Fatalf("encode: %v", err)
+		sim.t.Fatalf("encode: %v", err)
 	}
 	l.toEntry = append(l.toEntry, b)
-	w.links = append(w.links, l)
+	sim.links = append(sim.links, l)
 }
 
-// deliverToEntry hands over the next frame, if it can arrive.
-func (w *world) deliverToEntry(l *link) bool {
-	if len(l.toEntry) == 0 || !l.entryOpen && !l.entryLate || l.cutEntry || l.entry.frozen || !w.alive(l.entry) {
+// deliverToEntry delivers the next frame of a connection to the entry. It reports whether there
+// was one that could be delivered.
+func (sim *simulation) deliverToEntry(l *link) bool {
+	if len(l.toEntry) == 0 || !l.entryOpen && !l.entryClosing || l.toEntryCut || l.entry.frozen || !sim.isCurrent(l.entry) {
 		return false
 	}
 	f, err := wire.Decode[wire.ToEntry](l.toEntry[0])
 	l.toEntry = l.toEntry[1:]
 	if err != nil {
-		w.t.Fatalf("decode: %v", err)
+		sim.t.Fatalf("decode: %v", err)
 	}
-	w.noteResults(l.entry, f.Reports)
+	sim.recordLateResults(l.entry, f.Reports)
 	core := l.entry.core
 	if f.Hello != nil {
-		core.Connect(w.now, owner.ConnID(l.id), f.Hello)
-	} else if err := core.Receive(w.now, owner.ConnID(l.id), f); err != nil && !l.entryLate {
-		w.t.Fatalf("entry refused a frame: %v", err)
+		core.Connect(sim.now, owner.ConnID(l.id), f.Hello)
+	} else if err := core.Receive(sim.now, owner.ConnID(l.id), f); err != nil && !l.entryClosing {
+		sim.t.Fatalf("entry refused a frame: %v", err)
 	}
 	core.Flush()
 	return true
 }
 
-// noteResults notes tasks whose first result reaches the owner after the deadline.
-func (w *world) noteResults(e *entry, reports []wire.Report) {
+// recordLateResults marks the submissions of tasks whose first result reaches the owner after the
+// deadline.
+func (sim *simulation) recordLateResults(e *entry, reports []wire.Report) {
 	for _, r := range reports {
-		task, begun := w.begunFor[attemptOf{e.owner.Incarnation, r.Seq}]
-		if r.State != wire.Succeeded || !begun || w.reported[task] {
+		task, begun := sim.taskByAttempt[attemptID{e.owner.Incarnation, r.Seq}]
+		if r.State != wire.Succeeded || !begun || sim.successReported[task] {
 			continue
 		}
-		w.reported[task] = true
-		task.sub.lateResult = task.sub.lateResult || !w.now.Before(task.sub.sub.ID.Deadline)
+		sim.successReported[task] = true
+		task.sub.lateResult = task.sub.lateResult || !sim.now.Before(task.sub.request.ID.Deadline)
 	}
 }
 
-func (w *world) deliverToAgent(l *link) bool {
-	if len(l.toAgent) == 0 || !l.agentOpen && !l.agentLate || l.cutAgent || l.agent.frozen || w.agents[l.agent.slot] != l.agent {
+// deliverToAgent delivers the next frame of a connection to the agent. It reports whether there
+// was one that could be delivered.
+func (sim *simulation) deliverToAgent(l *link) bool {
+	if len(l.toAgent) == 0 || !l.agentOpen && !l.agentClosing || l.toAgentCut || l.agent.frozen || sim.agents[l.agent.index] != l.agent {
 		return false
 	}
 	f, err := wire.Decode[wire.ToAgent](l.toAgent[0])
 	l.toAgent = l.toAgent[1:]
 	if err != nil {
-		w.t.Fatalf("decode: %v", err)
+		sim.t.Fatalf("decode: %v", err)
 	}
 	table := l.agent.table
 	if f.Welcome != nil {
 		table.Connect(l.agent.now(), attempt.ConnID(l.id), f.Welcome)
 	}
-	if err := table.Receive(l.agent.now(), attempt.ConnID(l.id), f); err != nil && !l.agentLate {
-		w.t.Fatalf("agent refused a frame: %v", err)
+	if err := table.Receive(l.agent.now(), attempt.ConnID(l.id), f); err != nil && !l.agentClosing {
+		sim.t.Fatalf("agent refused a frame: %v", err)
 	}
 	table.Flush()
 	return true
 }
 
-// maxFrames bounds the frames that one moment may bring forth. More means that
-// frames circle: each answers another and nothing is settled.
+// maxFrames limits the frames that are delivered without time passing. A larger number means that
+// an entry and an agent reply to each other's frames endlessly.
 const maxFrames = 5000
 
-func (w *world) deliverAll() {
+// deliverAll delivers frames, including those sent in reply, until none can be delivered.
+func (sim *simulation) deliverAll() {
 	frames := 0
 	for progress := true; progress; {
 		progress = false
-		for _, l := range w.links {
-			for w.deliverToEntry(l) || w.deliverToAgent(l) {
+		for _, l := range sim.links {
+			for sim.deliverToEntry(l) || sim.deliverToAgent(l) {
 				progress = true
 				if frames++; frames > maxFrames {
-					w.t.Fatalf("frames circle between entry %d and agent %d", l.entry.slot, l.agent.slot)
+					sim.t.Fatalf("entry %d and agent %d exchange frames endlessly", l.entry.index, l.agent.index)
 				}
 				if frames > maxFrames-20 {
-					w.t.Logf("entry %d agent %d: toEntry %x toAgent %x", l.entry.slot, l.agent.slot, l.toEntry, l.toAgent)
+					sim.t.Logf("entry %d agent %d: toEntry %x toAgent %x", l.entry.index, l.agent.index, l.toEntry, l.toAgent)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) alive(e *entry) bool { return w.entries[e.slot] == e }
+// isCurrent reports whether the entry's process has not been replaced by a restart.
+func (sim *simulation) isCurrent(e *entry) bool { return sim.entries[e.index] == e }
 
-// closeEntrySide makes the entry notice that a connection has ended.
-func (w *world) closeEntrySide(l *link) {
-	if !l.entryOpen && !l.entryLate || l.entry.frozen || !w.alive(l.entry) {
+// closeEntrySide notifies the entry that a connection has ended.
+func (sim *simulation) closeEntrySide(l *link) {
+	if !l.entryOpen && !l.entryClosing || l.entry.frozen || !sim.isCurrent(l.entry) {
 		return
 	}
-	l.entryOpen, l.entryLate = false, false
-	l.entry.core.Disconnect(w.now, owner.ConnID(l.id))
+	l.entryOpen, l.entryClosing = false, false
+	l.entry.core.Disconnect(sim.now, owner.ConnID(l.id))
 	l.entry.core.Flush()
 }
 
-func (w *world) closeAgentSide(l *link) {
-	if !l.agentOpen && !l.agentLate || l.agent.frozen || w.agents[l.agent.slot] != l.agent {
+// closeAgentSide notifies the agent that a connection has ended.
+func (sim *simulation) closeAgentSide(l *link) {
+	if !l.agentOpen && !l.agentClosing || l.agent.frozen || sim.agents[l.agent.index] != l.agent {
 		return
 	}
-	l.agentOpen, l.agentLate = false, false
+	l.agentOpen, l.agentClosing = false, false
 	l.agent.table.Disconnect(l.agent.now(), attempt.ConnID(l.id))
 	l.agent.table.Flush()
 }
 
-// begun checks a start at a target against everything that was promised.
-func (w *world) begun(a *agent, s wire.Start) {
-	sub := w.byID[s.Job]
+// checkStart checks a start at a target: the task, its payload and deadline, the number of starts,
+// and the slots and state of the target.
+func (sim *simulation) checkStart(a *agent, s wire.Start) {
+	sub := sim.byID[s.Job]
 	if sub == nil {
-		w.t.Fatalf("a task of an unknown job %s started", s.Job)
+		sim.t.Fatalf("a task of the unknown job %s started", s.Job)
 	}
 	name := fmt.Sprintf("%s/%d", s.Job, s.Task)
-	w.starts[name]++
-	if sub.notRun {
-		w.t.Fatalf("%s started after its caller was told that it did not run", name)
+	sim.startCounts[name]++
+	if sub.reportedNotRun {
+		sim.t.Fatalf("%s started after it was reported as not run", name)
 	}
-	most := 1
-	if sub.sub.Idempotent {
-		most = owner.MaxStarts
+	maxStarts := 1
+	if sub.request.Idempotent {
+		maxStarts = owner.MaxStarts
 	}
-	if w.starts[name] > most {
-		w.t.Fatalf("%s started %d times", name, w.starts[name])
+	if sim.startCounts[name] > maxStarts {
+		sim.t.Fatalf("%s started %d times", name, sim.startCounts[name])
 	}
-	if !bytes.Equal(s.Payload, payload(s.Job, s.Task)) {
-		w.t.Fatalf("%s got another task's payload", name)
+	if !bytes.Equal(s.Payload, taskPayload(s.Job, s.Task)) {
+		sim.t.Fatalf("%s got another task's payload", name)
 	}
 	if len(a.running) > a.target.Slots {
-		w.t.Fatalf("%s runs %d tasks on %d slots", a.target.Name, len(a.running), a.target.Slots)
+		sim.t.Fatalf("%s runs %d tasks on %d slots", a.target.Name, len(a.running), a.target.Slots)
 	}
-	if !a.leftAt.IsZero() && w.now.Sub(a.leftAt) > 3*time.Second {
-		w.t.Fatalf("%s got new work %v after it began to leave", a.target.Name, w.now.Sub(a.leftAt))
+	if !a.leavingSince.IsZero() && sim.now.Sub(a.leavingSince) > 3*time.Second {
+		sim.t.Fatalf("%s got a new task %v after it began to leave", a.target.Name, sim.now.Sub(a.leavingSince))
 	}
-	if s.DeadlineMs <= w.now.UnixMilli() {
-		w.t.Fatalf("%s started after its deadline", name)
+	if s.DeadlineMs <= sim.now.UnixMilli() {
+		sim.t.Fatalf("%s started after its deadline", name)
 	}
 }
 
-func payload(job string, task int) []byte { return fmt.Appendf(nil, "payload %s/%d", job, task) }
-func result(job string, task int) []byte  { return fmt.Appendf(nil, "result %s/%d", job, task) }
+// taskPayload returns the payload of a task, which is unique to it.
+func taskPayload(job string, task int) []byte { return fmt.Appendf(nil, "payload %s/%d", job, task) }
 
-// finish ends a running call of the agent's target.
-func (w *world) finish(a *agent, i int, state wire.AttemptState) {
+// taskResult returns the result of a task, which is unique to it.
+func taskResult(job string, task int) []byte { return fmt.Appendf(nil, "result %s/%d", job, task) }
+
+// finish ends the i-th running call of the agent's target with an outcome.
+func (sim *simulation) finish(a *agent, i int, state wire.AttemptState) {
 	c := a.running[i]
 	a.running = append(a.running[:i:i], a.running[i+1:]...)
 	out := attempt.Outcome{State: state, RunMs: 1}
 	switch state {
 	case wire.Succeeded:
-		out.Result = result(c.start.Job, c.start.Task)
+		out.Result = taskResult(c.start.Job, c.start.Task)
 	case wire.NotRun:
 		out.Reason = wire.ReasonTargetUnavailable
-		w.starts[fmt.Sprintf("%s/%d", c.start.Job, c.start.Task)]--
+		sim.startCounts[fmt.Sprintf("%s/%d", c.start.Job, c.start.Task)]--
 	}
 	a.table.CompleteCall(a.now(), c.key, out)
 	a.table.Flush()
