--- a/internal/platformlog/keyed.go
+++ b/internal/platformlog/keyed.go
@@ -12,23 +12,25 @@
 	"github.com/camphorrack/camphorrack/internal/event"
 )
 
-// Entry is the newest value of a key in a keyed topic.
+// Entry is a record of a keyed topic: a key and its value.
 type Entry struct {
 	Key    string
-	Value  []byte // empty: the key was dropped
-	Offset uint64 // of its record
+	Value  []byte // empty: the key was deleted
+	Offset uint64 // of the record
 }
 
-// Observer is told what Watch reads of a keyed topic, from one goroutine.
+// Observer receives the entries that Watch reads from a keyed topic. Watch calls it from one
+// goroutine.
 type Observer interface {
-	// OnSnapshot takes every key's newest value. A key that it lacks was dropped, if it was
-	// ever written below the offset end.
+	// OnSnapshot receives the newest value of every key. A key that is missing and was written
+	// below the offset end has been deleted since.
 	OnSnapshot(entries []Entry, end uint64)
-	// OnChange takes a record written after the last OnSnapshot or OnChange.
+	// OnChange receives a record that was written after the previous OnSnapshot or OnChange.
 	OnChange(Entry)
 }
 
-// ObserverFunc is an Observer to which it is the same how an entry was read.
+// ObserverFunc is an Observer that handles every entry in the same way, whether it is part of a
+// snapshot or a change.
 type ObserverFunc func(Entry)
 
 // OnSnapshot implements Observer.
@@ -41,111 +43,112 @@
 // OnChange implements Observer.
 func (f ObserverFunc) OnChange(e Entry) { f(e) }
 
-// KeyedLog is the platform's log as its keyed topics show it: of each key the newest
-// value is kept for good, older ones for a limited time.
+// KeyedLog is the platform's log with keyed topics. The newest value of each key is retained
+// indefinitely, older values for a limited time.
 type KeyedLog interface {
-	// Put writes a key's value. After an error it may have been written.
+	// Put writes the value of a key. After an error the value may have been written.
 	Put(ctx context.Context, topic, key string, value []byte) error
-	// Newest returns every key's value, and the offset from which to follow.
+	// Newest returns the newest value of every key, and the offset to pass to Follow.
 	Newest(ctx context.Context, topic string) (entries []Entry, end uint64, err error)
-	// Follow returns what was written at and after an offset, waiting for it up to
-	// wait, and the offset to follow from next. A *TruncatedError means that records
-	// were dropped meanwhile: read the newest again.
+	// Follow returns the records at and after an offset, and the offset to pass to the next
+	// Follow. If there are none yet, it waits up to wait for the first. A *TruncatedError
+	// means that retention has dropped some of the records: call Newest again.
 	Follow(ctx context.Context, topic string, from uint64, wait time.Duration) (entries []Entry, next uint64, err error)
 }
 
 const (
-	// followWait is how long one read waits for news. A connection that went silent
-	// shows as a read that takes longer, so it also bounds how long news are missed.
-	followWait = 2 * time.Second
-	// firstRetry and lastRetry bound the pause after a call that failed: calls are
-	// limited for all processes together, and refused ones count too.
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = time.Second
+	// longPollTimeout is how long a read waits for new records. A read over a broken
+	// connection fails soon after it, so it also limits how long changes are missed.
+	longPollTimeout = 2 * time.Second
+	// initialRetryDelay and maxRetryDelay bound the delay after a failed call. The store limits
+	// the calls of all processes together, and rejected calls count towards the limit.
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = time.Second
 )
 
-// Watch reads a keyed topic and follows it until the context ends, and logs when the log
-// is lost and regained. The newest values are read again after each loss.
-func Watch(ctx context.Context, log logr.Logger, k KeyedLog, topic string, reader Observer) {
-	w := &watch{log: log, topic: topic}
-	retry := NewBackOff()
+// Watch passes a snapshot of a keyed topic and then each change to observer, until ctx ends. It
+// logs when the log becomes unreachable and when it is reachable again, and passes another
+// snapshot after each failure and each truncation.
+func Watch(ctx context.Context, log logr.Logger, k KeyedLog, topic string, observer Observer) {
+	outages := &outageLogger{log: log, topic: topic}
+	backOff := NewBackOff()
 	var next uint64
-	reread := true
+	needSnapshot := true
 	for ctx.Err() == nil {
 		var entries []Entry
 		var err error
-		if reread {
+		if needSnapshot {
 			entries, next, err = k.Newest(ctx, topic)
 		} else {
-			entries, next, err = k.Follow(ctx, topic, next, followWait)
+			entries, next, err = k.Follow(ctx, topic, next, longPollTimeout)
 		}
 		var truncated *TruncatedError
 		if errors.As(err, &truncated) {
 			event.Log(log, event.LogTruncated, "topic", topic, "from", truncated.From, "lowest", truncated.Lowest)
-			reread = true
+			needSnapshot = true
 			continue
 		}
 		if err != nil {
-			w.lost(err)
-			reread = true // an offset of before an outage may mean nothing after it
-			clock.Sleep(ctx, retry.NextBackOff())
+			outages.recordFailure(err)
+			needSnapshot = true // after an outage, the offset may be invalid
+			clock.Sleep(ctx, backOff.NextBackOff())
 			continue
 		}
-		w.found()
-		retry.Reset()
-		if reread {
-			reread = false
-			reader.OnSnapshot(entries, next)
+		outages.recordSuccess()
+		backOff.Reset()
+		if needSnapshot {
+			needSnapshot = false
+			observer.OnSnapshot(entries, next)
 			continue
 		}
 		for _, e := range entries {
-			reader.OnChange(e)
+			observer.OnChange(e)
 		}
 	}
 }
 
-// watch remembers whether the log answers, to log each change once.
-type watch struct {
-	log    logr.Logger
-	topic  string
-	lostAt time.Time
+// outageLogger logs once when calls to the log start to fail, and once when they succeed again.
+type outageLogger struct {
+	log          logr.Logger
+	topic        string
+	failingSince time.Time // zero while calls succeed
 }
 
-func (w *watch) lost(err error) {
-	if !w.lostAt.IsZero() {
+func (o *outageLogger) recordFailure(err error) {
+	if !o.failingSince.IsZero() {
 		return
 	}
-	w.lostAt = time.Now()
-	event.Log(w.log, event.LogUnreachable, "topic", w.topic, "error", err.Error())
+	o.failingSince = time.Now()
+	event.Log(o.log, event.LogUnreachable, "topic", o.topic, "error", err.Error())
 }
 
-func (w *watch) found() {
-	if w.lostAt.IsZero() {
+func (o *outageLogger) recordSuccess() {
+	if o.failingSince.IsZero() {
 		return
 	}
-	event.Log(w.log, event.LogBack, "topic", w.topic, "after_ms", time.Since(w.lostAt).Milliseconds())
-	w.lostAt = time.Time{}
+	event.Log(o.log, event.LogBack, "topic", o.topic, "after_ms", time.Since(o.failingSince).Milliseconds())
+	o.failingSince = time.Time{}
 }
 
-// PutWithRetry writes a key's value, again and again until the log has taken it.
+// PutWithRetry writes the value of a key, and retries until the write succeeds or ctx ends.
 func PutWithRetry(ctx context.Context, log logr.Logger, k KeyedLog, topic, key string, value []byte) {
-	w := &watch{log: log, topic: topic}
-	retry := NewBackOff()
+	outages := &outageLogger{log: log, topic: topic}
+	backOff := NewBackOff()
 	for ctx.Err() == nil {
 		err := k.Put(ctx, topic, key, value)
 		if err == nil {
-			w.found()
+			outages.recordSuccess()
 			event.Log(log, event.RecordWritten, "topic", topic, "key", key)
 			return
 		}
-		w.lost(err)
-		clock.Sleep(ctx, retry.NextBackOff())
+		outages.recordFailure(err)
+		clock.Sleep(ctx, backOff.NextBackOff())
 	}
 }
 
-// NewBackOff returns the pauses between calls that fail.
+// NewBackOff returns the exponential delays between retries of failed calls.
 func NewBackOff() *backoff.ExponentialBackOff {
 	return backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(firstRetry), backoff.WithMaxInterval(lastRetry), backoff.WithMaxElapsedTime(0),
+		backoff.WithInitialInterval(initialRetryDelay), backoff.WithMaxInterval(maxRetryDelay), backoff.WithMaxElapsedTime(0),
 	)
 }
--- a/internal/platformlog/logfake/logfake.go
+++ b/internal/platformlog/logfake/logfake.go
@@ -1,6 +1,6 @@
-// Package logfake is the platform's log in memory, with the faults of the real
-// one: slow, down, answers lost after the write, appends that land late, records
-// dropped by retention. Tests use it directly; the stand-in service serves it.
+// Package logfake implements platformlog.Log in memory and injects the faults of the real log:
+// slow calls, outages, responses lost after the write, delayed appends and records dropped by
+// retention.
 package logfake
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// Faults says how the log misbehaves.
+// Faults are the faults that the log injects.
 type Faults struct {
-	Unavailable      bool          // appends and reads fail and nothing is written
-	ReadsUnavailable bool          // only reads fail
-	LoseAnswers      bool          // appends are written and the answer is lost
-	DelayAppends     bool          // appends are held back, and land at the next Land
+	Unavailable      bool          // appends and reads fail; nothing is written
+	ReadsUnavailable bool          // reads fail
+	LoseAnswers      bool          // appends are written, but return an *UndecidedError
+	DelayAppends     bool          // appends are undecided, and written by the next ApplyDelayed
 	Delay            time.Duration // added to every call
 }
 
-// Causes carried by the errors.
+// Causes of the returned errors.
 var (
 	ErrUnavailable = errors.New("service unavailable")
 	ErrAnswerLost  = errors.New("connection reset before the answer")
@@ -30,16 +30,16 @@
 
 type stream struct {
 	lowest  uint64
-	records []kept
-	late    [][]byte
+	records []storedRecord
+	delayed [][]byte
 }
 
-type kept struct {
-	data []byte
-	at   time.Time
+type storedRecord struct {
+	data      []byte
+	writtenAt time.Time
 }
 
-// Log is the fake. It is safe for concurrent use.
+// Log is an in-memory log. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
 	streams map[string]*stream
@@ -52,14 +52,14 @@
 // New returns an empty log without faults.
 func New() *Log { return &Log{streams: map[string]*stream{}} }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (l *Log) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (l *Log) Faults() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +91,7 @@
 	s := l.stream(name)
 	data := append([]byte(nil), record...)
 	if l.faults.DelayAppends {
-		s.late = append(s.late, data)
+		s.delayed = append(s.delayed, data)
 		return 0, &platformlog.UndecidedError{Stream: name, Cause: ErrAnswerLost}
 	}
 	offset := l.write(s, data)
@@ -102,7 +102,7 @@
 }
 
 func (l *Log) write(s *stream, data []byte) uint64 {
-	s.records = append(s.records, kept{data, time.Now()})
+	s.records = append(s.records, storedRecord{data, time.Now()})
 	l.appends++
 	return s.end() - 1
 }
@@ -129,17 +129,17 @@
 	if max <= 0 || max > platformlog.MaxReadRecords {
 		max = platformlog.MaxReadRecords
 	}
-	var out []platformlog.Record
+	var records []platformlog.Record
 	size := 0
-	for next := from; next < s.end() && len(out) < max; next++ {
+	for next := from; next < s.end() && len(records) < max; next++ {
 		data := s.records[next-s.lowest].data
 		size += len(data)
-		if len(out) > 0 && size > platformlog.MaxReadBytes {
+		if len(records) > 0 && size > platformlog.MaxReadBytes {
 			break
 		}
-		out = append(out, platformlog.Record{Offset: next, Data: data})
+		records = append(records, platformlog.Record{Offset: next, Data: data})
 	}
-	return out, from + uint64(len(out)), nil
+	return records, from + uint64(len(records)), nil
 }
 
 func (l *Log) wait(ctx context.Context) error {
@@ -157,20 +157,20 @@
 	}
 }
 
-// ApplyDelayed writes the appends that were held back and returns how many there were.
+// ApplyDelayed writes the delayed appends of a stream and returns how many there were.
 func (l *Log) ApplyDelayed(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	for _, data := range s.late {
+	for _, data := range s.delayed {
 		l.write(s, data)
 	}
-	n := len(s.late)
-	s.late = nil
+	n := len(s.delayed)
+	s.delayed = nil
 	return n
 }
 
-// Truncate drops records below the offset, at most up to the end.
+// Truncate drops the records of a stream below the offset. An offset past the end drops all.
 func (l *Log) Truncate(name string, below uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,27 +179,27 @@
 	if below <= s.lowest {
 		return
 	}
-	s.records = append([]kept(nil), s.records[below-s.lowest:]...)
+	s.records = append([]storedRecord(nil), s.records[below-s.lowest:]...)
 	s.lowest = below
 }
 
-// Expire drops the records of every stream that are older than age, also while
-// the log is down, as retention does.
+// Expire drops the records of every stream that are older than age, also during an outage, like
+// the retention of the real log.
 func (l *Log) Expire(age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	cut := time.Now().Add(-age)
+	cutoff := time.Now().Add(-age)
 	for _, s := range l.streams {
 		n := 0
-		for n < len(s.records) && s.records[n].at.Before(cut) {
+		for n < len(s.records) && s.records[n].writtenAt.Before(cutoff) {
 			n++
 		}
-		s.records = append([]kept(nil), s.records[n:]...)
+		s.records = append([]storedRecord(nil), s.records[n:]...)
 		s.lowest += uint64(n)
 	}
 }
 
-// Bounds returns the lowest kept offset and the end of a stream.
+// Bounds returns the lowest retained offset of a stream and the offset of its next record.
 func (l *Log) Bounds(name string) (lowest, end uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -207,7 +207,7 @@
 	return s.lowest, s.end()
 }
 
-// AppendCount returns how many records were written in all.
+// AppendCount returns the number of records written to all streams.
 func (l *Log) AppendCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platformlog/platformlog.go
+++ b/internal/platformlog/platformlog.go
@@ -1,20 +1,20 @@
-// Package platformlog is what the rest of the code knows of the platform's store: Log,
-// streams of records with rising offsets that are kept for a limited time, and Keyed,
-// topics that keep the newest value of each key. The client behind both is
-// platform/store.
+// Package platformlog defines the interfaces to the platform's store and helpers for its use.
+// A Log has streams of records with increasing offsets, which are retained for a limited time.
+// A KeyedLog has topics that retain the newest value of each key. Package platform/store
+// implements both.
 package platformlog
 
 import "context"
 
-// Limits of the service. A read is bounded so that neither end holds a whole
-// stream in memory; a reader that is behind reads again.
+// Limits of the service. A read is limited so that neither side holds a whole stream in
+// memory; a reader that lags behind reads repeatedly.
 const (
 	MaxRecordBytes = 256 << 10
 	MaxReadRecords = 1024
 	MaxReadBytes   = 1 << 20
 )
 
-// Record is one entry of a stream.
+// Record is a record of a stream.
 type Record struct {
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
@@ -22,16 +22,16 @@
 
 // Log is the platform's log.
 type Log interface {
-	// Append adds a record and returns its offset. The error is an *UnavailableError
-	// (certainly not written), an *UndecidedError (may have been written, now or
-	// still to come) or a *RefusedError.
+	// Append appends a record and returns its offset. The error is an *UnavailableError or
+	// a *RefusedError if nothing was written, and an *UndecidedError if the record may have
+	// been written or may be written later.
 	Append(ctx context.Context, stream string, record []byte) (offset uint64, err error)
-	// Read returns records from offset `from` on, in order and with none left out,
-	// at most max of them (0: as many as fit), and the offset to read from next.
-	// At the end of the stream it returns no records and next == from. The error
-	// is an *UnavailableError, a *TruncatedError, a *PastEndError or a *RefusedError.
+	// Read returns consecutive records in order, the first one at offset from, and the offset
+	// to read from next. It returns at most max records; 0: as many as the limits of the
+	// service allow. At the end of the stream it returns no records and next == from. The
+	// error is an *UnavailableError, a *TruncatedError, a *PastEndError or a *RefusedError.
 	Read(ctx context.Context, stream string, from uint64, max int) (records []Record, next uint64, err error)
 }
 
-// Opener returns a client of the log at a base URL, such as "http://10.0.0.7:7000".
+// Opener returns a client of the log at the given base URL, such as "http://10.0.0.7:7000".
 type Opener func(base string) Log
