--- a/internal/platformlog/logfake/logfake.go
+++ b/internal/platformlog/logfake/logfake.go
@@ -29,9 +29,9 @@
 )
 
 type stream struct {
-	lowest  uint64
+	lowest  uint64 // offset of the first retained record
 	records []storedRecord
-	delayed [][]byte
+	delayed [][]byte // appends that ApplyDelayed writes
 }
 
 type storedRecord struct {
@@ -66,6 +66,7 @@
 	return l.faults
 }
 
+// stream returns a stream, which it creates if necessary. The caller holds the lock.
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
@@ -101,12 +102,14 @@
 	return offset, nil
 }
 
+// write appends a record and returns its offset. The caller holds the lock.
 func (l *Log) write(s *stream, data []byte) uint64 {
 	s.records = append(s.records, storedRecord{data, time.Now()})
 	l.appends++
 	return s.end() - 1
 }
 
+// end returns the offset of the next record.
 func (s *stream) end() uint64 { return s.lowest + uint64(len(s.records)) }
 
 // Read implements platformlog.Log.
@@ -142,6 +145,7 @@
 	return records, from + uint64(len(records)), nil
 }
 
+// wait delays a call by Faults.Delay. It returns an error if ctx ends first.
 func (l *Log) wait(ctx context.Context) error {
 	delay := l.Faults().Delay
 	if delay <= 0 {
