--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -15,15 +15,16 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// outbox sends the owner's frames to agents. It belongs to the control goroutine.
+// outbox implements owner.Outbox over the agents' connections. While the control goroutine
+// runs, only that may use it.
 type outbox struct {
 	conns map[owner.ConnID]*session.ToAgentConn
 }
 
 func newOutbox() *outbox { return &outbox{conns: map[owner.ConnID]*session.ToAgentConn{}} }
 
-// Send implements owner.Outbox. A frame for a connection that has just ended is
-// dropped; what it carried is asked about on the next connection.
+// Send implements owner.Outbox. It drops a frame for a connection that has just ended;
+// the owner and the agent reconcile its content on the next connection.
 func (o *outbox) Send(id owner.ConnID, f *wire.ToAgent) {
 	if c, ok := o.conns[id]; ok {
 		c.Send(f)
@@ -44,13 +45,13 @@
 	}
 }
 
-// helloError is a connection that does not open as it must.
-type helloError struct{ what string }
+// helloError reports an invalid hello, the first frame of an agent.
+type helloError struct{ reason string }
 
 // Error implements error.
-func (e *helloError) Error() string { return "hello: " + e.what }
+func (e *helloError) Error() string { return "hello: " + e.reason }
 
-// agents serves the agents' connections.
+// agents accepts the agents' connections and hands their frames to the control goroutine.
 type agents struct {
 	log      logr.Logger
 	control  *controlLoop
@@ -60,7 +61,7 @@
 	config   *configuration
 }
 
-// serve is the handler of session.Path; it lasts as long as the connection.
+// serve handles requests to session.Path. It returns when the connection ends.
 func (a *agents) serve(g *gin.Context) {
 	conn, err := session.Accept(g.Writer, g.Request, a.options)
 	if err != nil {
@@ -68,7 +69,7 @@
 	}
 	s := &agentSession{agents: a, conn: conn, id: owner.ConnID(a.lastConn.Add(1))}
 	err = conn.Serve(s.receive)
-	s.ended(err)
+	s.handleDisconnect(err)
 }
 
 // agentSession is one connection of an agent.
@@ -76,12 +77,12 @@
 	*agents
 	conn   *session.ToAgentConn
 	id     owner.ConnID
-	opened bool // hello has come
+	opened bool // a valid hello was received
 	config *config.Peer
 }
 
-// receive runs on the connection's reading goroutine. The owner sees a
-// connection's frames in order, because the channel keeps it.
+// receive handles a frame on the connection's reading goroutine. The command channel
+// preserves the order of a connection's frames. An error closes the connection.
 func (s *agentSession) receive(f *wire.ToEntry) error {
 	if !s.opened {
 		return s.open(f)
@@ -90,7 +91,7 @@
 		return err
 	}
 	if f.IsHeartbeat() {
-		return nil // the session has seen it, and the owner need not
+		return nil // the session handled it; it carries nothing for the owner
 	}
 	return s.control.Push(func(now time.Time, c core) {
 		if err := c.Receive(now, s.id, f); err != nil {
@@ -101,10 +102,10 @@
 
 func (s *agentSession) open(f *wire.ToEntry) error {
 	if f.Hello == nil {
-		return &helloError{"the first frame carries none"}
+		return &helloError{"it is missing from the first frame"}
 	}
 	if f.Hello.Version != wire.Version {
-		return &helloError{"another version of the protocol"}
+		return &helloError{"unsupported protocol version"}
 	}
 	if f.Hello.Incarnation == 0 || f.Hello.Worker == "" {
 		return &helloError{"the incarnation or the worker's name is missing"}
@@ -117,23 +118,23 @@
 	})
 }
 
-func (s *agentSession) ended(err error) {
+func (s *agentSession) handleDisconnect(err error) {
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
-		s.logEnd(closed)
+		s.logClose(closed)
 	}
 	if !s.opened {
 		return
 	}
 	s.agents.config.close(s)
-	// The error means that the process ends, and the state with it.
+	// Push fails only when the process ends, and the control state with it.
 	_ = s.control.Push(func(now time.Time, c core) {
 		delete(s.outbox.conns, s.id)
 		c.Disconnect(now, s.id)
 	})
 }
 
-func (s *agentSession) logEnd(closed *session.CloseError) {
+func (s *agentSession) logClose(closed *session.CloseError) {
 	id := event.SessionClosed
 	var protocol *owner.ProtocolError
 	switch {
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -9,30 +9,31 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// await asks the control state for an answer and writes what comes of it.
+// await registers a waiter for the job's answer by calling ask on the control goroutine. It
+// writes the answer, or "pending" when the wait ends first, or the fault that ask returned.
 func (a *api) await(g *gin.Context, id job.ID, wait time.Duration,
 	ask func(time.Time, core, owner.AnswerFunc) (func(), error),
 ) {
-	answers := make(chan job.Answer, 1) // the waiter never blocks
-	var stop func()
-	var refusal error
+	answers := make(chan job.Answer, 1) // buffered: the waiter must not block the control goroutine
+	var stopWaiting func()
+	var askErr error
 	err := a.control.do(func(now time.Time, c core) {
-		stop, refusal = ask(now, c, func(answer job.Answer) { answers <- answer })
+		stopWaiting, askErr = ask(now, c, func(answer job.Answer) { answers <- answer })
 	})
 	if err == nil {
-		err = refusal
+		err = askErr
 	}
 	if err != nil {
 		writeFault(g, id.String(), err)
 		return
 	}
-	answer, ok := receive(g, answers, wait)
+	answer, ok := waitForAnswer(g, answers, wait)
 	if !ok {
-		// Where there is no room for this command, the waiter stays until the job
-		// ends; the job itself goes on in any case.
+		// If the command queue is full, the waiter stays registered until the job
+		// ends. The job continues in any case.
 		_ = a.control.post(func(_ time.Time, c core) {
-			stop()
-			if len(answers) > 0 { // it came when the wait was just over
+			stopWaiting()
+			if len(answers) > 0 { // the answer arrived just after the wait had ended
 				c.MarkUndelivered(id)
 			}
 		})
@@ -41,8 +42,9 @@
 	a.deliver(g, id, answer)
 }
 
-// receive waits for the answer until the wait is over or the caller is gone.
-func receive(g *gin.Context, answers <-chan job.Answer, wait time.Duration) (job.Answer, bool) {
+// waitForAnswer returns the answer, or false once the wait is over or the caller has
+// disconnected.
+func waitForAnswer(g *gin.Context, answers <-chan job.Answer, wait time.Duration) (job.Answer, bool) {
 	select {
 	case answer := <-answers:
 		return answer, true
@@ -59,34 +61,36 @@
 	return job.Answer{}, false
 }
 
-// lapsed reports whether a complete answer must no longer be given, by this entry's
-// own clock. The process may have been frozen between the job's end and the writing
-// of the answer; meanwhile another entry that could not reach the owner may have told
-// a caller that the outcome is unknown, which it does forward.MaxClockSkew later.
-func (a *api) lapsed(id job.ID) bool { return !a.clock.Now().Before(id.AnswerableUntil()) }
+// pastAnswerGrace reports whether, by this entry's own clock, a complete answer may no longer
+// be given. The process may have been frozen between the job's end and the writing of the
+// answer. Meanwhile another entry that could not reach the owner may have reported the
+// outcome as unknown, which it does from forward.MaxClockSkew after that time.
+func (a *api) pastAnswerGrace(id job.ID) bool { return !a.clock.Now().Before(id.AnswerableUntil()) }
 
-// withheld asks the owner again after its complete answer came too late to be given.
-func withheld(id job.ID) func(time.Time, core, owner.AnswerFunc) (func(), error) {
+// withholdAndAwait returns a function for await that records that the owner's complete
+// answer came too late to be given, and asks for the answer again.
+func withholdAndAwait(id job.ID) func(time.Time, core, owner.AnswerFunc) (func(), error) {
 	return func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
 		c.MarkUndelivered(id)
 		return c.Await(now, id, w)
 	}
 }
 
-// deliver writes an answer and notes whether its caller will come back for it.
+// deliver writes an answer and records whether its caller is expected to ask for it again.
 func (a *api) deliver(g *gin.Context, id job.ID, answer job.Answer) {
-	left := g.Request.Context().Err() != nil
+	callerGone := g.Request.Context().Err() != nil
 	switch {
-	case answer.State == job.Complete && left:
-		// Nobody reads it: where this one comes back past the grace, it wasn't given.
-		_ = a.control.post(func(_ time.Time, c core) { c.MarkUndelivered(id) }) // else it counts as given
-	case answer.State == job.Complete && a.lapsed(id):
-		a.await(g, id, 0, withheld(id))
+	case answer.State == job.Complete && callerGone:
+		// The caller never read this answer. Unless it is withheld, a caller that asks again
+		// after the grace period is told that it was given.
+		_ = a.control.post(func(_ time.Time, c core) { c.MarkUndelivered(id) }) // on failure, it counts as given
+	case answer.State == job.Complete && a.pastAnswerGrace(id):
+		a.await(g, id, 0, withholdAndAwait(id))
 		return
 	}
-	written := writeAnswer(g, answer) && !left && g.Request.Context().Err() == nil
+	written := writeAnswer(g, answer) && !callerGone && g.Request.Context().Err() == nil
 	if written && answer.Final() {
-		a.unclaimed.claimed(id.String())
+		a.unclaimed.remove(id.String())
 		return
 	}
 	a.unclaimed.add(a.clock.Now(), id.String(), id.AnswerableUntil())
--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -19,52 +19,52 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// holder is a control state that knows one job's answer.
-type holder struct {
+// fakeCore is a control state that has one job's answer and counts calls of Withhold.
+type fakeCore struct {
 	core
 	answer   job.Answer
 	withheld int
 }
 
-func (h *holder) Tick(time.Time)         {}
-func (h *holder) Flush()                 {}
-func (h *holder) Idle() bool             { return true }
-func (h *holder) MarkUndelivered(job.ID) { h.withheld++ }
+func (h *fakeCore) Tick(time.Time)         {}
+func (h *fakeCore) Flush()                 {}
+func (h *fakeCore) Idle() bool             { return true }
+func (h *fakeCore) MarkUndelivered(job.ID) { h.withheld++ }
 
-func (h *holder) Await(_ time.Time, _ job.ID, w owner.AnswerFunc) (func(), error) {
+func (h *fakeCore) Await(_ time.Time, _ job.ID, w owner.AnswerFunc) (func(), error) {
 	w(h.answer)
 	return func() {}, nil
 }
 
-// answerCase is an entry that holds the complete answer to one job.
-type answerCase struct {
+// answerFixture is an API with a fake clock, set to the job's deadline, and a fakeCore.
+type answerFixture struct {
 	*WithT
 	api   *api
 	id    job.ID
 	clock *clock.Fake
-	core  *holder
+	core  *fakeCore
 }
 
-func newAnswerCase(t *testing.T) *answerCase {
+func newAnswerFixture(t *testing.T) *answerFixture {
 	g := NewWithT(t)
 	deadline := time.UnixMilli(1_800_000_000_000)
 	id, err := job.NewID(job.Owner{Incarnation: 1, Addr: netip.MustParseAddrPort("127.0.0.1:1")}.Token(nil), deadline, "x", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	now := clock.NewFake(deadline)
-	h := &holder{answer: job.Answer{ID: id.String(), State: job.Failed, Failure: fault.New(fault.OutcomeUnknown, "")}}
+	h := &fakeCore{answer: job.Answer{ID: id.String(), State: job.Failed, Failure: fault.New(fault.OutcomeUnknown, "")}}
 	control := newControl(h, now, logr.Discard(), nil)
 	go control.Run()
 	t.Cleanup(control.Stop)
-	return &answerCase{g, &api{clock: now, control: control, unclaimed: newUnclaimed()}, id, now, h}
+	return &answerFixture{g, &api{clock: now, control: control, unclaimed: newUnclaimed()}, id, now, h}
 }
 
-// deliver writes an answer and returns what its caller reads.
-func (c *answerCase) deliver(state job.State, f *fault.Fault) (status int, answer job.Answer) {
-	return c.deliverTo(context.Background(), state, f)
+// deliver writes an answer and returns the status and the answer that its caller receives.
+func (c *answerFixture) deliver(state job.State, f *fault.Fault) (status int, answer job.Answer) {
+	return c.deliverWithContext(context.Background(), state, f)
 }
 
-// deliverTo writes an answer to a caller who is there as long as ctx lasts.
-func (c *answerCase) deliverTo(ctx context.Context, state job.State, f *fault.Fault) (status int, answer job.Answer) {
+// deliverWithContext is deliver for a caller whose connection lasts as long as ctx.
+func (c *answerFixture) deliverWithContext(ctx context.Context, state job.State, f *fault.Fault) (status int, answer job.Answer) {
 	recorder := httptest.NewRecorder()
 	g, _ := gin.CreateTestContext(recorder)
 	g.Request = httptest.NewRequest(http.MethodGet, "/", nil).WithContext(ctx)
@@ -73,9 +73,9 @@
 	return recorder.Code, answer
 }
 
-// Guards against a frozen entry withholding results that were ready in time.
+// Guards against an entry that was frozen withholding results that were ready in time.
 func TestCompleteAnswerIsWrittenPastTheDeadline(t *testing.T) {
-	c := newAnswerCase(t)
+	c := newAnswerFixture(t)
 	c.clock.Advance(job.AnswerGrace - time.Millisecond)
 	status, _ := c.deliver(job.Complete, nil)
 	c.Expect(status).To(Equal(http.StatusOK))
@@ -84,7 +84,7 @@
 
 // Guards against "complete" after another entry may have called the outcome unknown.
 func TestNoCompleteAnswerIsWrittenPastTheGrace(t *testing.T) {
-	c := newAnswerCase(t)
+	c := newAnswerFixture(t)
 	c.clock.Advance(job.AnswerGrace)
 	status, answer := c.deliver(job.Complete, nil)
 	c.Expect(status).To(Equal(fault.OutcomeUnknown.Status()))
@@ -94,17 +94,17 @@
 	c.Expect(status).To(Equal(fault.Cancelled.Status()))
 }
 
-// Guards against an answer counting as given that was written to nobody.
-func TestAnswerToACallerWhoLeftIsWithheld(t *testing.T) {
-	c := newAnswerCase(t)
+// Guards against an answer counting as given although its caller had disconnected.
+func TestAnswerIsWithheldWhenCallerDisconnects(t *testing.T) {
+	c := newAnswerFixture(t)
 	ctx, leave := context.WithCancel(context.Background())
-	c.deliverTo(ctx, job.Complete, nil)
+	c.deliverWithContext(ctx, job.Complete, nil)
 	c.Expect(c.core.withheld).To(BeZero())
 	leave()
-	c.deliverTo(ctx, job.Complete, nil)
+	c.deliverWithContext(ctx, job.Complete, nil)
 	c.Expect(c.api.control.do(func(time.Time, core) {})).To(Succeed())
 	c.Expect(c.core.withheld).To(Equal(1))
-	c.deliverTo(ctx, job.Failed, fault.New(fault.Cancelled, ""))
+	c.deliverWithContext(ctx, job.Failed, fault.New(fault.Cancelled, ""))
 	c.Expect(c.api.control.do(func(time.Time, core) {})).To(Succeed())
 	c.Expect(c.core.withheld).To(Equal(1))
 }
--- a/internal/entry/api.go
+++ b/internal/entry/api.go
@@ -22,7 +22,7 @@
 
 const pathCancel = "/v1/cancel"
 
-// api serves HTTP: callers, operators, the balancer and other entries.
+// api serves the HTTP requests of callers, operators, the balancer and other entries.
 type api struct {
 	log        logr.Logger
 	clock      clock.Clock
@@ -32,29 +32,29 @@
 	dataCentre string
 	maxTimeout time.Duration
 
-	control   *controlLoop
-	forwarder *forward.Forwarder
-	agents    *agents
-	config    *configuration
-	unclaimed *unclaimed
-	metrics   *counters
-	draining  *atomic.Bool
-	caughtUp  chan struct{}      // closed once the newest configuration is known
-	drain     func()             // starts a graceful shutdown
-	pull      func(entry string) // takes what another entry has of the configuration and this one lacks
+	control           *controlLoop
+	forwarder         *forward.Forwarder
+	agents            *agents
+	config            *configuration
+	unclaimed         *unclaimed
+	metrics           *counters
+	draining          *atomic.Bool
+	caughtUp          chan struct{}      // closed when catchUp has ended
+	drain             func()             // starts a graceful shutdown
+	pullConfiguration func(entry string) // fetches from another entry the configuration that this one lacks
 }
 
 func init() { gin.SetMode(gin.ReleaseMode) }
 
-// handler returns the routes.
+// handler returns the HTTP handler with all routes.
 func (a *api) handler() http.Handler {
 	g := gin.New()
 	g.HandleMethodNotAllowed = true
-	g.Use(a.mark, a.recover)
-	g.NoRoute(a.unknown)
-	g.NoMethod(a.unknown)
+	g.Use(a.instrument, a.recover)
+	g.NoRoute(a.notFound)
+	g.NoMethod(a.notFound)
 
-	g.GET("/v1/token", a.needsConfiguration, a.giveToken)
+	g.GET("/v1/token", a.requireConfiguration, a.issueToken)
 	g.POST("/v1/jobs", a.submit(false))
 	g.POST("/v1/requests", a.submit(true))
 	g.GET("/v1/jobs/:id", a.lookup)
@@ -63,30 +63,31 @@
 
 	g.GET("/v1/targets", a.targets)
 	g.GET("/v1/status", a.status)
-	g.GET(config.ReportPath, a.needsConfiguration, a.configuration)
+	g.GET(config.ReportPath, a.requireConfiguration, a.serveConfiguration)
 	g.POST(config.ReportPath+"/:version", a.refresh)
 	g.POST("/v1/drain", a.startDrain)
-	g.GET("/healthz", a.needsConfiguration, a.health)
-	g.GET("/metrics", a.giveMetrics)
+	g.GET("/healthz", a.requireConfiguration, a.health)
+	g.GET("/metrics", a.serveMetrics)
 
 	g.GET(session.Path, a.awaitConfiguration, a.agents.serve)
-	g.POST(pathPeer, a.takePeer)
+	g.POST(pathPeer, a.registerPeer)
 	return g
 }
 
-// mark names this run of the process on every response and counts it.
-func (a *api) mark(g *gin.Context) {
+// instrument sets the incarnation header on every response. It counts the request, the
+// response's status class and its fault.
+func (a *api) instrument(g *gin.Context) {
 	g.Header(forward.HeaderIncarnation, a.owner.Incarnation.String())
 	a.metrics.requests.Inc(1)
 	g.Next()
-	a.metrics.status(g.Writer.Status())
-	if name := g.GetString(keyFault); name != "" {
-		a.metrics.fault(name)
+	a.metrics.countResponse(g.Writer.Status())
+	if name := g.GetString(contextKeyFault); name != "" {
+		a.metrics.countFault(name)
 	}
 }
 
-// recover turns a panic of one request into its failure, except for a broken
-// invariant that the operator wants to see as a crash.
+// recover turns a handler's panic into an error response. It repeats the panic of a broken
+// invariant, which the operator has configured to crash the process.
 func (a *api) recover(g *gin.Context) {
 	defer func() {
 		cause := recover()
@@ -106,9 +107,9 @@
 	g.Next()
 }
 
-// errPanic stands for a request whose handler panicked: what it did is unknown.
+// errPanic is the error of a request whose handler panicked: its effect is unknown.
 var errPanic = errors.New("the request could not be served")
 
-func (a *api) unknown(g *gin.Context) {
+func (a *api) notFound(g *gin.Context) {
 	writeFault(g, "", fault.Input(fault.UnknownResource, "path", "no such path or method"))
 }
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -10,14 +10,14 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// cancelResult is what became of the cancelling of one id. Without a failure the
-// job was told to stop or had ended; a lookup tells its answer.
+// cancelResult is the result of cancelling one id. Without a failure, the job was
+// cancelled or had already ended; a lookup returns its answer.
 type cancelResult struct {
 	ID      string       `json:"id"`
 	Failure *fault.Fault `json:"failure,omitempty"`
 }
 
-// cancelResults is the reply to a wave, in the order of the request.
+// cancelResults is the reply to a batch of cancellations, in the order of the request.
 type cancelResults struct {
 	Results []cancelResult `json:"results"`
 }
@@ -30,24 +30,25 @@
 		return
 	}
 	if !a.owns(id) {
-		r := a.request(g, id, nil, 0)
+		r := a.ownerRequest(g, id, nil, 0)
 		r.AcceptsWait = false
-		a.pass(g, id, r)
+		a.forwardToOwner(g, id, r)
 		return
 	}
-	if f := a.cancelOwn([]job.ID{id})[0]; f != nil {
+	if f := a.cancelOwned([]job.ID{id})[0]; f != nil {
 		writeFault(g, id.String(), f)
 		return
 	}
 	writeJSON(g, http.StatusOK, cancelResult{ID: id.String()})
 }
 
-// cancelChunk is how many cancellations are one command: a wave must not hold up
-// the placing of tasks for other callers.
+// cancelChunk is the number of cancellations in one command: a large batch must not delay
+// the placement of other callers' tasks.
 const cancelChunk = 100
 
-// cancelOwn cancels submissions that this entry owns; a nil fault is success.
-func (a *api) cancelOwn(ids []job.ID) []*fault.Fault {
+// cancelOwned cancels submissions that this entry owns. The faults are in the order of ids;
+// nil means success.
+func (a *api) cancelOwned(ids []job.ID) []*fault.Fault {
 	faults := make([]*fault.Fault, len(ids))
 	for start := 0; start < len(ids); start += cancelChunk {
 		end := min(start+cancelChunk, len(ids))
--- a/internal/entry/catchup.go
+++ b/internal/entry/catchup.go
@@ -15,72 +15,74 @@
 )
 
 const (
-	// catchUpTimeout is how long a new entry takes no work while others that may have a
-	// newer configuration are silent. It outlasts a pause of some seconds; a host that is
-	// gone for good must not hold up its peers for longer.
+	// catchUpTimeout bounds how long a new entry accepts no work while other entries that may
+	// have a newer configuration don't answer. It outlasts a pause of some seconds; a host
+	// that is gone for good must not delay its peers for longer.
 	catchUpTimeout = 6 * time.Second
-	// catchUpRetry is the pause between two questions to a silent entry.
-	catchUpRetry = 50 * time.Millisecond
-	// catchUpLater is when a caller should ask a new entry again for a token.
-	catchUpLater = 500 * time.Millisecond
+	// catchUpRetryInterval is the pause between two requests to an entry that doesn't answer.
+	catchUpRetryInterval = 50 * time.Millisecond
+	// catchUpRetryAfter is the Retry-After of requests that are rejected until catchUp has ended.
+	catchUpRetryAfter = 500 * time.Millisecond
 )
 
-// Where a new entry's configuration was confirmed.
+// What confirmed that a new entry's configuration is the newest, for the log.
 const (
 	confirmedByLog     = "log"
 	confirmedByEntries = "entries"
 	unconfirmed        = "unconfirmed"
 )
 
-// catchUp takes the newest configuration before the entry takes work: from the log, or, where
-// that can't be read, from every entry in the settings. Agents hear of a change up to
-// FanOutSpread later; with what they tell first, an entry would enforce an older configuration
-// than its predecessor. It returns what confirmed it, and which entries have told nothing.
-func (e *Entry) catchUp() (by string, silent []string) {
+// catchUp fetches the newest configuration before the entry accepts work: from the log or, if
+// that can't be read, from every entry in the settings. Agents receive a change up to
+// config.FanOutSpread later than entries: with the first configuration from an agent, an entry
+// could enforce an older one than its predecessor. It returns what confirmed the configuration,
+// and the entries that have not answered.
+func (e *Entry) catchUp() (confirmedBy string, unanswered []string) {
 	defer close(e.api.caughtUp)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	watch := silence.NewWatchdog(catchUpTimeout, cancel)
-	defer watch.Stop()
-	silent = e.o.entries()
-	told := make(chan string, len(silent))
-	for _, addr := range silent {
-		go e.askUntilTold(ctx, addr, told)
+	watchdog := silence.NewWatchdog(catchUpTimeout, cancel)
+	defer watchdog.Stop()
+	unanswered = e.o.entries()
+	answered := make(chan string, len(unanswered))
+	for _, addr := range unanswered {
+		go e.introduceUntilAnswered(ctx, addr, answered)
 	}
 	polled := e.api.config.polled()
-	logUnread := polled != nil
-	for len(silent) > 0 || logUnread {
+	logPending := polled != nil
+	for len(unanswered) > 0 || logPending {
 		select {
-		case addr := <-told:
-			silent = slices.DeleteFunc(silent, func(other string) bool { return other == addr })
+		case addr := <-answered:
+			unanswered = slices.DeleteFunc(unanswered, func(other string) bool { return other == addr })
 		case current := <-polled:
 			if current {
-				return confirmedByLog, silent
+				return confirmedByLog, unanswered
 			}
-			logUnread = false
+			logPending = false
 		case <-ctx.Done():
-			return unconfirmed, silent
-		case <-e.drainedCh:
-			return unconfirmed, silent
+			return unconfirmed, unanswered
+		case <-e.done:
+			return unconfirmed, unanswered
 		}
 	}
 	return confirmedByEntries, nil
 }
 
-// askUntilTold asks an entry until it answers, or nothing listens at its address: what a
-// process knew that has ended is lost. Then it sends the address.
-func (e *Entry) askUntilTold(ctx context.Context, addr string, told chan<- string) {
+// introduceUntilAnswered introduces this entry to another one until that replies, or until its
+// address refuses connections: then the process has ended, and its configuration is lost. Then
+// it sends the address on answered.
+func (e *Entry) introduceUntilAnswered(ctx context.Context, addr string, answered chan<- string) {
 	for ctx.Err() == nil {
 		err := e.introduceOnce(ctx, addr)
 		if err == nil || errors.Is(err, errIntroductionRefused) || errors.Is(err, syscall.ECONNREFUSED) {
-			told <- addr
+			answered <- addr
 			return
 		}
-		clock.Sleep(ctx, catchUpRetry)
+		clock.Sleep(ctx, catchUpRetryInterval)
 	}
 }
 
-// ready reports whether the entry has caught up.
+// ready reports whether catchUp has ended.
 func (a *api) ready() bool {
 	select {
 	case <-a.caughtUp:
@@ -90,18 +92,18 @@
 	}
 }
 
-// needsConfiguration turns requests away that depend on the configuration while the entry
-// may have an older one than its predecessor.
-func (a *api) needsConfiguration(g *gin.Context) {
+// requireConfiguration rejects requests that depend on the configuration until catchUp has
+// ended: before that, the entry may have an older one than its predecessor.
+func (a *api) requireConfiguration(g *gin.Context) {
 	if a.ready() {
 		return
 	}
-	writeFault(g, "", fault.Refused(fault.NoConfiguration, "this entry has just started and looks for the newest configuration; ask another", catchUpLater))
+	writeFault(g, "", fault.Refused(fault.NoConfiguration, "this entry has just started and looks for the newest configuration; ask another", catchUpRetryAfter))
 	g.Abort()
 }
 
-// awaitConfiguration holds an agent's session back until the entry has caught up: what
-// agents tell may be older than what other entries have.
+// awaitConfiguration delays an agent's session until catchUp has ended: the agent's
+// configuration may be older than that of other entries.
 func (a *api) awaitConfiguration(g *gin.Context) {
 	select {
 	case <-a.caughtUp:
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -15,49 +15,51 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// configuration keeps the entry's configuration: read from the platform's log,
-// heard from agents, told to agents, and handed to the control state.
+// configuration keeps the entry's configuration. It reads changes from the platform's log
+// and from agents, sends them to agents, and applies them to the control state.
 type configuration struct {
 	holder   *config.Replica
 	fanOut   *config.FanOut
-	follower *follower.Follower // nil without a log: then agents alone bring it
-	news     chan struct{}      // the log has brought a change
-	stop     context.CancelFunc
+	follower *follower.Follower // nil without a log: changes then come from agents alone
+	changed  chan struct{}      // signals a change that was read from the log
+	cancel   context.CancelFunc
 }
 
 func newConfiguration(e *Entry) *configuration {
 	self := e.api.owner
 	where := config.Location{DataCentre: e.o.DataCentre, Entry: self.Addr.String()}
-	c := &configuration{holder: config.NewReplica(where, e.clock, e.log), fanOut: config.NewFanOut(nil), news: make(chan struct{}, 1)}
+	c := &configuration{holder: config.NewReplica(where, e.clock, e.log), fanOut: config.NewFanOut(nil), changed: make(chan struct{}, 1)}
 	if e.o.LogURL != "" {
 		c.follower = follower.New(follower.Options{
 			Log: e.o.OpenLog(e.o.LogURL), Replica: c.holder, Clock: e.clock, Logger: e.log,
-			Rand: c.random(), SnapshotInterval: e.o.SnapshotInterval,
+			Rand: c.newRand(), SnapshotInterval: e.o.SnapshotInterval,
 		})
 	}
 	return c
 }
 
-// random spreads the work of several processes; it decides nothing else.
-func (c *configuration) random() *rand.Rand {
+// newRand returns a random source that spreads the work of several processes in time; it
+// decides nothing else.
+func (c *configuration) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// start follows the log and tells agents until end. The control goroutine must run.
+// start follows the log and sends changes to agents until stop is called. The control
+// goroutine must run.
 func (c *configuration) start(k *controlLoop) {
-	ctx, stop := context.WithCancel(context.Background())
-	c.stop = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	c.cancel = cancel
 	c.holder.Watch(func(a *config.Applied) {
 		if a.State.Version == 0 {
-			return // the built-in defaults are what the process starts with
+			return // the control state starts with the built-in defaults
 		}
 		if a.Source == config.SourceLog {
-			c.noteNews()
+			c.signalChange()
 		}
-		// In a goroutine: the channel of commands may be full for a while. The
-		// command takes what is newest then, so an older one can't come last.
+		// In a goroutine, because Push blocks while the command queue is full. The command
+		// reads the newest configuration when it runs, so an older one can't be applied last.
 		go func() {
-			_ = k.Push(func(now time.Time, core core) { core.Configure(now, c.holder.Get()) }) // fails only at the end
+			_ = k.Push(func(now time.Time, core core) { core.Configure(now, c.holder.Get()) }) // fails only when the process ends
 		}()
 	})
 	go c.fanOut.Run(ctx)
@@ -66,7 +68,8 @@
 	}
 }
 
-// polled brings whether the log was read to its end; nil without a log.
+// polled returns a channel that receives whether a poll read the log to its end, or nil
+// without a log.
 func (c *configuration) polled() <-chan bool {
 	if c.follower == nil {
 		return nil
@@ -74,15 +77,15 @@
 	return c.follower.PollResults()
 }
 
-func (c *configuration) end() {
-	if c.stop != nil {
-		c.stop()
+func (c *configuration) stop() {
+	if c.cancel != nil {
+		c.cancel()
 	}
 }
 
-// open takes a new agent's connection in.
+// open adds a new agent's connection to those that changes are sent to.
 func (c *configuration) open(s *agentSession) {
-	link := config.NewEntryLink(c.holder, c.random())
+	link := config.NewEntryLink(c.holder, c.newRand())
 	s.config = c.fanOut.Add(link, func(mark uint64, update []byte) {
 		s.conn.Send(&wire.ToAgent{Version: mark, Config: update})
 	})
@@ -94,43 +97,44 @@
 	}
 }
 
-func (c *configuration) noteNews() {
+func (c *configuration) signalChange() {
 	select {
-	case c.news <- struct{}{}:
-	default: // somebody is about to be told of what is newest
+	case c.changed <- struct{}{}:
+	default: // an announcement is already due, and will carry the newest configuration
 	}
 }
 
-// behind reports whether an entry at the given mark has a newer configuration.
-func (c *configuration) behind(mark string) bool {
-	theirs, err := strconv.ParseUint(mark, 10, 64)
-	return err == nil && theirs > c.holder.Position()
+// isBehind reports whether another entry, at the given mark, has a newer configuration than
+// this one.
+func (c *configuration) isBehind(mark string) bool {
+	peerMark, err := strconv.ParseUint(mark, 10, 64)
+	return err == nil && peerMark > c.holder.Position()
 }
 
-// lacking returns, encoded, what an entry at the given mark lacks; nothing where it
-// is up to date or did not say, as entries of an older release.
-func (c *configuration) lacking(mark string) []byte {
-	theirs, err := strconv.ParseUint(mark, 10, 64)
-	if err != nil || theirs >= c.holder.Position() {
+// updateSince returns the encoded changes that another entry at the given mark lacks. It
+// returns nil if that entry is up to date, or sent no mark, as entries of an older release do.
+func (c *configuration) updateSince(mark string) []byte {
+	peerMark, err := strconv.ParseUint(mark, 10, 64)
+	if err != nil || peerMark >= c.holder.Position() {
 		return nil
 	}
-	update, err := c.holder.EncodeUpdate(theirs)
+	update, err := c.holder.EncodeUpdate(peerMark)
 	if err != nil {
 		return nil // a state that can't be encoded is one the peer can't have either
 	}
 	return update
 }
 
-// Waiting for a version that an operator's tool asks for.
+// Timing of refresh.
 const (
 	refreshTimeout = 2 * time.Second
 	refreshPoll    = 10 * time.Millisecond
 )
 
-// refresh serves POST /v1/config/:version: it reads the log now and answers when the
-// version asked for is in force, or after a while with what is. An operator's
-// tool calls it after a change, so that the change is held by a process, too, and
-// not by the log alone, by the time the operator is told.
+// refresh serves POST /v1/config/:version. It reads the log now and replies with the
+// configuration in force, once that has reached the requested version or after
+// refreshTimeout. An operator's tool calls it after a change, so that by the time the
+// operator sees the result, a process holds the change too and not the log alone.
 func (a *api) refresh(g *gin.Context) {
 	version, err := strconv.ParseUint(g.Param("version"), 10, 64)
 	if err != nil {
@@ -144,8 +148,10 @@
 	for a.config.holder.Get().State.Version < version && time.Now().Before(deadline) && g.Request.Context().Err() == nil {
 		time.Sleep(refreshPoll)
 	}
-	a.configuration(g)
+	a.serveConfiguration(g)
 }
 
-// configuration serves GET /v1/config.
-func (a *api) configuration(g *gin.Context) { writeJSON(g, http.StatusOK, a.config.holder.Report()) }
+// serveConfiguration serves GET /v1/config.
+func (a *api) serveConfiguration(g *gin.Context) {
+	writeJSON(g, http.StatusOK, a.config.holder.Report())
+}
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	tickEvery = 10 * time.Millisecond
-	// idleTickEvery is the pace while no job waits for its answer and ticks only
-	// forget what is old: a hundred wake-ups a second cost 1 % of a core.
-	idleTickEvery = 100 * time.Millisecond
-	// maxCommands bounds what waits for the control goroutine. At some 20 us a
-	// command a full channel is about 80 ms of work; more would only delay the
-	// heartbeat of decisions further.
+	tickInterval = 10 * time.Millisecond
+	// idleTickInterval is the tick interval while no job waits for its answer and ticks
+	// only drop expired state: a hundred wake-ups a second cost 1 % of a core.
+	idleTickInterval = 100 * time.Millisecond
+	// maxCommands bounds the command queue of the control goroutine. At some 20 us a
+	// command, a full queue is about 80 ms of work; a longer one would only delay the
+	// decisions that ticks make further.
 	maxCommands = 4096
 	// maxBatch bounds the commands between two flushes, so that starts and
-	// acknowledgements don't wait for a long line of submissions.
+	// acknowledgements don't wait for a long queue of submissions.
 	maxBatch = 256
-	// busyAfter is how long a request waits for room in the channel before its
-	// caller is told to come back.
-	busyAfter = 500 * time.Millisecond
+	// enqueueTimeout is how long a request waits for room in the command queue before it
+	// fails as undecided, and how long its caller should then wait before a retry.
+	enqueueTimeout = 500 * time.Millisecond
 )
 
 // core is the control state; *owner.Core implements it.
@@ -53,38 +53,38 @@
 	Status() owner.Status
 }
 
-// command is something to do with the control state, on the control goroutine.
+// command is an operation on the control state. It runs on the control goroutine.
 type command = control.Command[core]
 
-// controlLoop is the goroutine that owns the control state.
+// controlLoop runs the goroutine that owns the control state.
 type controlLoop struct {
 	*control.Loop[core]
-	endOnce sync.Once
+	finishOnce sync.Once
 }
 
-func newControl(c core, k clock.Clock, log logr.Logger, turned func(control.Turn)) *controlLoop {
-	stalls := gauges.StallObserver(log, idleTickEvery)
+func newControl(c core, k clock.Clock, log logr.Logger, onTurn func(control.Turn)) *controlLoop {
+	stalls := gauges.StallObserver(log, idleTickInterval)
 	return &controlLoop{Loop: control.New(control.Options[core]{
 		State: c, Clock: k,
 		Tick: func(now time.Time, c core) {
 			stalls()
 			c.Tick(now)
 		},
-		TickInterval: pace,
-		Flush:        core.Flush, MaxCommands: maxCommands, MaxBatch: maxBatch, OnTurn: turned,
+		TickInterval: currentTickInterval,
+		Flush:        core.Flush, MaxCommands: maxCommands, MaxBatch: maxBatch, OnTurn: onTurn,
 	})}
 }
 
-func pace(c core) time.Duration {
+func currentTickInterval(c core) time.Duration {
 	if c.Idle() {
-		return idleTickEvery
+		return idleTickInterval
 	}
-	return tickEvery
+	return tickInterval
 }
 
-// do runs a command and waits until it is done. The error is control.ErrBusy, where
-// it was not executed, or control.ErrStopped.
-func (l *controlLoop) do(run command) error { return l.Do(busyAfter, run) }
+// do runs a command and waits until it has run. The error is control.ErrBusy, if the queue
+// stayed full and the command was not executed, or control.ErrStopped.
+func (l *controlLoop) do(run command) error { return l.Do(enqueueTimeout, run) }
 
-// post hands over a command without waiting for it; errors are as for do.
-func (l *controlLoop) post(run command) error { return l.Post(busyAfter, run) }
+// post queues a command without waiting until it has run; the errors are those of do.
+func (l *controlLoop) post(run command) error { return l.Post(enqueueTimeout, run) }
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -13,10 +13,10 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// The control goroutine falls behind, in a burst or on a starved host. A request
-// that finds no room is told to ask again and not that it did not run: a copy of
-// it may have got in.
-func TestBusyControlIsUndecided(t *testing.T) {
+// The control goroutine falls behind, in a burst or on a host short of CPU. A request that
+// finds the command queue full must get "undecided" and not "not run": a copy of it may have
+// been accepted.
+func TestFullCommandQueueIsUndecided(t *testing.T) {
 	g := NewWithT(t)
 	c := newControl(owner.New(owner.Options{}), clock.NewFake(time.UnixMilli(1)), logr.Discard(), nil)
 	gate := make(chan struct{})
@@ -26,21 +26,21 @@
 	for range maxCommands {
 		g.Expect(c.Push(func(time.Time, core) { ran++ })).To(Succeed())
 	}
-	for c.QueuedCommands() < maxCommands { // the first may have been taken before
+	for c.QueuedCommands() < maxCommands { // the goroutine may have taken the first from the queue
 		g.Expect(c.Push(func(time.Time, core) { ran++ })).To(Succeed())
 	}
-	lost := false
-	err := c.do(func(time.Time, core) { lost = true })
+	executed := false
+	err := c.do(func(time.Time, core) { executed = true })
 	g.Expect(err).To(MatchError(control.ErrBusy))
-	told := asFault(err)
-	g.Expect(told.Code).To(Equal(fault.Undecided))
-	g.Expect(told.NotRun).To(BeFalse())
-	g.Expect(told.RetryAfterMs).To(BeNumerically(">", 0))
+	busy := asFault(err)
+	g.Expect(busy.Code).To(Equal(fault.Undecided))
+	g.Expect(busy.NotRun).To(BeFalse())
+	g.Expect(busy.RetryAfterMs).To(BeNumerically(">", 0))
 
 	close(gate)
 	g.Expect(c.do(func(time.Time, core) {})).To(Succeed())
 	g.Expect(ran).To(BeNumerically(">=", maxCommands))
-	g.Expect(lost).To(BeFalse())
+	g.Expect(executed).To(BeFalse())
 	c.Stop()
 	g.Expect(c.do(func(time.Time, core) {})).To(MatchError(control.ErrStopped))
 }
--- a/internal/entry/counters.go
+++ b/internal/entry/counters.go
@@ -11,7 +11,7 @@
 	"github.com/camphorrack/camphorrack/internal/session"
 )
 
-// counters are what GET /metrics shows.
+// counters holds the metrics that GET /metrics shows.
 type counters struct {
 	gauges.Set
 	requests metrics.Counter
@@ -32,20 +32,20 @@
 	return c, c.forward.Register(c.Registry)
 }
 
-// status counts a response.
-func (c *counters) status(status int) {
+// countResponse counts a response by its status class.
+func (c *counters) countResponse(status int) {
 	if class := status / 100; class >= 2 && class < len(c.byClass) {
 		c.byClass[class].Inc(1)
 	}
 }
 
-// fault counts what a caller was told; faults that another entry answered with and
-// that were passed on are counted there.
-func (c *counters) fault(name string) {
+// countFault counts a fault that this entry replied with. A fault in a reply that it
+// forwarded is counted by the entry that replied with it.
+func (c *counters) countFault(name string) {
 	metrics.GetOrRegisterCounter("faults."+name, c.Registry).Inc(1)
 }
 
-// update copies the control state's figures.
+// update copies the control state's figures into gauges.
 func (c *counters) update(s owner.Status) {
 	set := func(name string, value int64) {
 		metrics.GetOrRegisterGauge("owner."+name, c.Registry).Update(value)
--- a/internal/entry/decode.go
+++ b/internal/entry/decode.go
@@ -16,7 +16,7 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// maxCancelIDs bounds one wave of cancellations, so that a wave holds the control
+// maxCancelIDs bounds one batch of cancellations, so that it occupies the control
 // goroutine for no longer than a few submissions do.
 const maxCancelIDs = 1000
 
@@ -26,12 +26,12 @@
 	job.Submission
 }
 
-// cancelBody is the body of a wave of cancellations.
+// cancelBody is the body of a batch of cancellations.
 type cancelBody struct {
 	IDs []string `json:"ids"`
 }
 
-// readBody reads a request's body up to its cap. The error is a *fault.Fault.
+// readBody reads a request's body of at most job.MaxBodyBytes. The error is a *fault.Fault.
 func readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength > job.MaxBodyBytes {
 		return nil, tooLarge()
@@ -53,9 +53,9 @@
 	return fault.Input(fault.BodyTooLarge, "body", "at most "+strconv.Itoa(job.MaxBodyBytes)+" bytes")
 }
 
-// decodeStrict reads one JSON value that has no unknown fields and nothing behind
-// it: a misspelt field would otherwise be dropped in silence, and with it what the
-// caller asked for. The error is a *fault.Fault that names the field.
+// decodeStrict decodes a body that must be one JSON value without unknown fields and without
+// trailing data: a misspelt field would otherwise be ignored silently, and with it what
+// the caller asked for. The error is a *fault.Fault that names the field.
 func decodeStrict(body []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -68,28 +68,28 @@
 	return nil
 }
 
-// unknownField starts the text of encoding/json's error for an unknown field; the
-// library has no type for it.
-const unknownField = "json: unknown field "
+// unknownFieldPrefix is the prefix of encoding/json's error text for an unknown field, which
+// has no error type.
+const unknownFieldPrefix = "json: unknown field "
 
-// embedded starts the names that the library gives to a submission's fields; the
-// caller's body has no such level.
-const embedded = "Submission."
+// embeddedPrefix is the prefix that encoding/json puts before the names of a submission's
+// fields, because the struct is embedded; the caller's body has no such level.
+const embeddedPrefix = "Submission."
 
 func decodeFault(err error) *fault.Fault {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		field := strings.TrimPrefix(wrongType.Field, embedded)
+		field := strings.TrimPrefix(wrongType.Field, embeddedPrefix)
 		return fault.Input(fault.BadBody, field, "can't hold a JSON "+wrongType.Value)
 	}
-	if quoted, ok := strings.CutPrefix(err.Error(), unknownField); ok {
+	if quoted, ok := strings.CutPrefix(err.Error(), unknownFieldPrefix); ok {
 		return fault.Input(fault.BadBody, fieldName(quoted), "unknown field")
 	}
 	return fault.Input(fault.BadBody, "body", err.Error())
 }
 
-// fieldName returns the name that a caller gave a field, cut to a length that a
-// reply may carry; "body" stands for an empty one.
+// fieldName unquotes the name of a caller's field and truncates it to the length that a
+// reply may carry. It returns "body" for an empty name.
 func fieldName(quoted string) string {
 	name, err := strconv.Unquote(quoted)
 	if err != nil || name == "" {
@@ -98,7 +98,8 @@
 	return strings.ToValidUTF8(name[:min(len(name), job.MaxNameBytes)], "")
 }
 
-// decodeSubmission reads the body of a submission; the id in it is still a text.
+// decodeSubmission decodes the body of a submission without parsing its id. The error is a
+// *fault.Fault.
 func decodeSubmission(body []byte, single bool) (*submissionBody, error) {
 	b := &submissionBody{}
 	if err := decodeStrict(body, b); err != nil {
@@ -108,7 +109,7 @@
 	return b, nil
 }
 
-// peekID reads the id of a body that could not be decoded strictly.
+// peekID returns the id in a body that decodeStrict rejected, or "".
 func peekID(body []byte) string {
 	var lenient struct {
 		ID string `json:"id"`
@@ -119,7 +120,7 @@
 	return lenient.ID
 }
 
-// decodeCancel reads the body of a wave of cancellations.
+// decodeCancel decodes the body of a batch of cancellations. The error is a *fault.Fault.
 func decodeCancel(body []byte) ([]string, error) {
 	b := cancelBody{}
 	if err := decodeStrict(body, &b); err != nil {
@@ -133,11 +134,12 @@
 
 const (
 	paramWait = "wait_ms"
-	// maxWait bounds a wait whatever the caller asks for.
+	// maxWait is the longest wait that a caller may request.
 	maxWait = 24 * time.Hour
 )
 
-// decodeWait reads the only query parameter there is; given is false without it.
+// decodeWait decodes wait_ms, the only query parameter; given is false without it. The error
+// is a *fault.Fault.
 func decodeWait(query url.Values) (wait time.Duration, given bool, err error) {
 	for name, values := range query {
 		if name != paramWait || len(values) != 1 {
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -11,47 +11,48 @@
 
 const (
 	drainPoll = 20 * time.Millisecond
-	// closeTimeout is what the last requests get at the least once no job is left, also
-	// where the drain timeout is over.
+	// closeTimeout is the least time that the last requests get once no job is left, even if
+	// the drain timeout has expired.
 	closeTimeout = 2 * time.Second
 )
 
-// ErrDrainTimeout is a shutdown that left accepted jobs without their answers, or
+// ErrDrainTimeout reports a shutdown that left accepted jobs without their answers, or
 // answers that callers had not fetched.
-var ErrDrainTimeout = errors.New("the drain timeout was over before every answer was given")
+var ErrDrainTimeout = errors.New("the drain timeout expired before every answer was delivered")
 
-// beginDrain starts a graceful shutdown, once.
+// beginDrain starts a graceful shutdown. Only the first call has an effect.
 func (e *Entry) beginDrain() {
 	e.drainOnce.Do(func() {
-		e.draining.Store(true) // the balancer and callers see it from here on
+		e.draining.Store(true) // from here on, GET /healthz and GET /v1/token report it
 		event.Log(e.log, event.ProcessStopping, "drain_timeout", e.o.drainTimeout().String())
 		go e.drain()
 	})
 }
 
-// drain refuses new submissions and goes on serving everything else until nothing
-// accepted is without its answer. The listener stays open meanwhile, because
-// other entries and callers still ask for answers that only this process has. Requests
-// that are passed on to other entries end once it is closed, each in its own time.
+// drain rejects new submissions and keeps serving all other requests until every accepted
+// job has its answer. The listener stays open meanwhile, because other entries and callers
+// still ask for answers that only this process has. Requests that were forwarded to other
+// entries complete after it is closed, each in its own time.
 func (e *Entry) drain() {
-	until := time.Now().Add(e.o.drainTimeout())
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+	deadline := time.Now().Add(e.o.drainTimeout())
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	err := e.settle(ctx)
-	if least := time.Now().Add(closeTimeout); until.Before(least) {
-		until = least
+	err := e.waitUntilIdle(ctx)
+	if minimum := time.Now().Add(closeTimeout); deadline.Before(minimum) {
+		deadline = minimum
 	}
-	closing, cancelClosing := context.WithDeadline(context.Background(), until)
-	defer cancelClosing()
+	closeCtx, cancelClose := context.WithDeadline(context.Background(), deadline)
+	defer cancelClose()
 	e.server.RegisterOnShutdown(e.unused.Close) // runs once the listener is closed
-	if closeErr := e.server.Shutdown(closing); err == nil && closeErr != nil {
+	if closeErr := e.server.Shutdown(closeCtx); err == nil && closeErr != nil {
 		err = errors.Wrap(closeErr, "close callers' connections")
 	}
 	e.finish(err)
 }
 
-// settle waits until no job is without an answer and no caller is expected back.
-func (e *Entry) settle(ctx context.Context) error {
+// waitUntilIdle waits until every job has its answer and no caller is expected to ask for one
+// again. The error is ErrDrainTimeout, once ctx has ended.
+func (e *Entry) waitUntilIdle(ctx context.Context) error {
 	poll := time.NewTicker(drainPoll)
 	defer poll.Stop()
 	for {
@@ -71,14 +72,15 @@
 	}
 }
 
-// finish ends the control goroutine and closes the agents' connections.
+// finish stops the control goroutine, closes the agents' connections and makes err the result
+// of Stop. Only the first call has an effect.
 func (e *Entry) finish(err error) {
-	e.control.endOnce.Do(func() {
-		e.drainErr = err
-		e.api.config.end()
+	e.control.finishOnce.Do(func() {
+		e.doneErr = err
+		e.api.config.stop()
 		e.control.Stop()
 		e.api.agents.outbox.closeAll()
 		event.Log(e.log, event.ProcessStopped, "clean", err == nil)
-		close(e.drainedCh)
+		close(e.done)
 	})
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -26,16 +26,16 @@
 )
 
 const (
-	headerTimeout  = 5 * time.Second // for a request's header
+	headerTimeout  = 5 * time.Second // for reading a request's header
 	idleTimeout    = 2 * time.Minute // of a caller's connection between requests
 	maxHeaderBytes = 16 << 10
-	// writeSlack is how long a caller may take to read its answer, beyond the
-	// longest wait for it. One that stops reading would otherwise hold the answer's
-	// memory until TCP gives up.
+	// writeSlack is how long a caller may take to read its answer, beyond the longest
+	// wait for it. A caller that stops reading would otherwise keep the answer in memory
+	// until TCP gives up.
 	writeSlack = 30 * time.Second
 )
 
-// Entry is the daemon.
+// Entry is the entry daemon.
 type Entry struct {
 	o        Options
 	log      logr.Logger
@@ -48,23 +48,23 @@
 
 	draining  atomic.Bool
 	drainOnce sync.Once
-	drainedCh chan struct{} // closed when the drain is over
-	drainErr  error         // written before drainedCh is closed
+	done      chan struct{} // closed when the drain is over, or when serving failed
+	doneErr   error         // set before done is closed
 }
 
-// New returns a daemon that is bound to its address but does not serve yet.
+// New returns a daemon that listens on its address but does not serve yet.
 func New(o Options, log logr.Logger) (*Entry, error) {
 	invariant.SetCrashOnBreach(o.CrashOnBreach)
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", o.Listen)
 	}
-	self, err := identity(o, listener)
+	self, err := newIdentity(o, listener)
 	if err != nil {
 		_ = listener.Close()
 		return nil, err
 	}
-	e := &Entry{o: o, log: log, clock: clock.NewAnchoredThroughSuspend(), listener: listener, drainedCh: make(chan struct{})}
+	e := &Entry{o: o, log: log, clock: clock.NewAnchoredThroughSuspend(), listener: listener, done: make(chan struct{})}
 	metrics, err := newCounters(func() int { return e.control.QueuedCommands() })
 	if err != nil {
 		_ = listener.Close()
@@ -75,12 +75,13 @@
 		Owner: self, Outbox: out, Log: log, Policy: owner.Policy(o.Policy), MaxJobs: o.MaxJobs,
 		LogEvery: o.LogPlacements, MaxTimeout: o.MaxTimeout, DataCentre: o.DataCentre, PeerAddrs: o.entries(), Seed: uint64(self.Incarnation),
 	}), e.clock, log, metrics.TurnObserver(log))
-	e.build(self, out, metrics)
+	e.buildServer(self, out, metrics)
 	return e, nil
 }
 
-// identity draws this run's incarnation and ties it to the address in tokens.
-func identity(o Options, listener net.Listener) (job.Owner, error) {
+// newIdentity creates this run's random incarnation and pairs it with the address that tokens
+// carry: Options.Advertise or, if that is empty, the bound address.
+func newIdentity(o Options, listener net.Listener) (job.Owner, error) {
 	addr := o.Advertise
 	if addr == "" {
 		addr = listener.Addr().String()
@@ -92,14 +93,14 @@
 	return job.Owner{Incarnation: job.NewIncarnation(), Addr: parsed}, nil
 }
 
-// build wires the traffic side.
-func (e *Entry) build(self job.Owner, out *outbox, metrics *counters) {
+// buildServer creates the HTTP API with all that it uses, and the server.
+func (e *Entry) buildServer(self job.Owner, out *outbox, metrics *counters) {
 	e.api = &api{
 		log: e.log, clock: e.clock, key: e.o.key(), owner: self, token: self.Token(e.o.key()),
 		dataCentre: e.o.DataCentre, maxTimeout: e.o.MaxTimeout, control: e.control,
 		forwarder: forward.New(forward.Options{Log: e.log, Clock: e.clock, Counters: metrics.forward}),
 		unclaimed: newUnclaimed(), metrics: metrics, draining: &e.draining, caughtUp: make(chan struct{}), drain: e.beginDrain,
-		pull: func(addr string) { _ = e.introduceOnce(context.Background(), addr) }, // it tells again itself
+		pullConfiguration: func(addr string) { _ = e.introduceOnce(context.Background(), addr) }, // after a failure, the peer's next introduction repeats it
 		agents: &agents{
 			log: e.log, control: e.control, outbox: out,
 			options: session.Options{Counters: metrics.sessions},
@@ -113,7 +114,7 @@
 		ConnState: e.unused.Track,
 		Handler:   e.api.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		WriteTimeout: e.o.MaxTimeout + writeSlack,
-		// What the library would print to stderr as plain text is for debugging only.
+		// net/http would print its errors to stderr as plain text; they are for debugging only.
 		ErrorLog: slog.NewLogLogger(logr.ToSlogHandler(e.log.V(logging.LevelDebug)), slog.LevelInfo),
 	}
 }
@@ -121,7 +122,7 @@
 // Addr returns the bound address.
 func (e *Entry) Addr() string { return e.listener.Addr().String() }
 
-// Start serves until Stop. It returns once the entry takes work.
+// Start serves until Stop. It returns once the entry accepts work.
 func (e *Entry) Start() {
 	go e.control.Run()
 	e.api.config.start(e.control)
@@ -131,29 +132,29 @@
 		}
 	}()
 	event.Log(e.log, event.EntryStarting, "addr", e.Addr(), "entries", e.o.Entries, "log", e.o.LogURL)
-	confirmed, silent := e.catchUp()
+	confirmedBy, unanswered := e.catchUp()
 	for _, addr := range e.o.entries() {
 		go e.introduce(addr)
 	}
-	go e.spreadNews()
+	go e.announceChanges()
 	event.Log(e.log, event.ProcessStarted, "addr", e.Addr(), "advertise", e.api.owner.Addr.String(),
 		"incarnation", e.api.owner.Incarnation.String(), "data_centre", e.o.DataCentre, "policy", e.o.Policy,
-		"config_version", e.api.config.holder.Get().State.Version, "config_confirmed_by", confirmed,
-		"silent_entries", strings.Join(silent, ","))
+		"config_version", e.api.config.holder.Get().State.Version, "config_confirmed_by", confirmedBy,
+		"silent_entries", strings.Join(unanswered, ","))
 }
 
-// Done is closed when a drain is over, or when serving failed.
-func (e *Entry) Done() <-chan struct{} { return e.drainedCh }
+// Done returns a channel that is closed when a drain is over, or when serving failed.
+func (e *Entry) Done() <-chan struct{} { return e.done }
 
-// Stop drains and ends the daemon. It returns once everything accepted has its
-// answer and callers have had the time to fetch it, or with an error when the
-// drain timeout, or the context, was over before.
+// Stop drains and ends the daemon. It returns once every accepted job has its answer and
+// callers have had the time to fetch it, or with an error if the drain timeout or the
+// context ends first.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.beginDrain()
 	select {
-	case <-e.drainedCh:
+	case <-e.done:
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "drain")
 	}
-	return e.drainErr
+	return e.doneErr
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -37,13 +37,13 @@
 		token = tokenOf(first.Addr())
 	})
 
-	// A caller's connection broke and it sends its job again, through whichever
-	// entry the balancer picks, several at once. A task started twice bills a
-	// customer twice; an answer that differs makes the caller act on a wrong one.
-	It("answers a resubmission through any entry with the one answer, and starts each task once", func() {
+	// After a broken connection, a caller resubmits its job several times at once, through
+	// whichever entries the balancer picks. A task that starts twice may bill a customer
+	// twice; with differing answers, the caller may act on a wrong one.
+	It("gives the same answer to resubmissions through any entry, and starts each task once", func() {
 		id := newID(token, time.Minute, "job")
-		payloads := numbered(job.MaxTasks)
-		agent.holding(true)
+		payloads := numberedPayloads(job.MaxTasks)
+		agent.setHold(true)
 		addrs := []string{first.Addr(), second.Addr()}
 		replies := make(chan reply, 20)
 		for i := range 20 {
@@ -53,7 +53,7 @@
 			}()
 		}
 		Eventually(agent.startCounts).Should(HaveLen(job.MaxTasks))
-		agent.holding(false)
+		agent.setHold(false)
 		for range 20 {
 			var r reply
 			Eventually(replies, "10s").Should(Receive(&r))
@@ -69,28 +69,28 @@
 		Expect(other.Failure.Code).To(Equal(fault.BodyMismatch))
 	})
 
-	// The caller's process dies while it waits. What it asked for is still done
-	// once, and whoever asks for the id later gets the answer.
-	It("goes on with a job whose caller is gone, and keeps the answer for a look-up", func() {
-		agent.holding(true)
+	// The caller's process ends while it waits. Its job must still run once, and a later
+	// lookup of the id must get the answer.
+	It("continues a job whose caller has disconnected, and keeps the answer for a lookup", func() {
+		agent.setHold(true)
 		id := newID(token, time.Minute, "job")
 		ctx, cancel := context.WithCancel(context.Background())
-		gone := make(chan error, 1)
+		disconnected := make(chan error, 1)
 		go func() {
-			_, err := try(ctx, http.MethodPost, second.Addr(), "/v1/requests", submission(id, "p"))
-			gone <- err
+			_, err := send(ctx, http.MethodPost, second.Addr(), "/v1/requests", submission(id, "p"))
+			disconnected <- err
 		}()
 		Eventually(agent.startCounts).Should(HaveLen(1))
 		cancel()
-		Eventually(gone).Should(Receive(MatchError(context.Canceled)))
+		Eventually(disconnected).Should(Receive(MatchError(context.Canceled)))
 		pending := call(http.MethodGet, second.Addr(), "/v1/jobs/"+id+"?wait_ms=30", nil)
 		Expect(pending.status).To(Equal(http.StatusAccepted))
 		Expect(pending.State).To(Equal(job.Pending))
-		agent.holding(false)
+		agent.setHold(false)
 		Expect(call(http.MethodGet, second.Addr(), "/v1/jobs/"+id, nil).State).To(Equal(job.Complete))
 	})
 
-	It("makes an id for a submission without one, and names itself on every response", func() {
+	It("creates an id for a submission without one, and sets the incarnation header", func() {
 		r := call(http.MethodPost, second.Addr(), "/v1/requests?wait_ms=0", submission("", "p"))
 		Expect(r.State).To(Equal(job.Pending))
 		id, err := job.ParseID(r.ID, job.Key(testKey))
@@ -99,9 +99,9 @@
 		Expect(r.header.Get(forward.HeaderIncarnation)).To(Equal(id.Owner.Incarnation.String()))
 	})
 
-	// Whatever a caller sends that can't be understood must start nothing, name
-	// what is wrong, and leave the process serving everybody else.
-	It("refuses bad input with a numbered fault that names the field, and starts nothing", func() {
+	// Invalid input must start nothing, get a fault that names the wrong field, and not affect
+	// other callers.
+	It("rejects invalid input with a numbered fault that names the field, and starts nothing", func() {
 		good := newID(token, time.Minute, "x")
 		long := make([]byte, job.MaxPayloadBytes+1)
 		bad := []struct {
@@ -120,7 +120,7 @@
 			{"/v1/jobs", []byte(`{"tasks":[{"estimate_ms":"long"}]}`), fault.BadBody, "tasks.estimate_ms"},
 			{"/v1/jobs", []byte(`{"id":"` + strings.Repeat("x", job.MaxBodyBytes) + `"}`), fault.BodyTooLarge, "body"},
 			{"/v1/jobs", submission(good), fault.BadTaskCount, "tasks"},
-			{"/v1/jobs", submission(good, numbered(job.MaxTasks+1)...), fault.BadTaskCount, "tasks"},
+			{"/v1/jobs", submission(good, numberedPayloads(job.MaxTasks+1)...), fault.BadTaskCount, "tasks"},
 			{"/v1/requests", submission(good, "a", "b"), fault.BadTaskCount, "tasks"},
 			{"/v1/jobs", submission(good, string(long)), fault.BodyTooLarge, "tasks[0].payload"},
 			{"/v1/jobs", submission("my-own-id", "p"), fault.BadID, "id"},
@@ -138,17 +138,17 @@
 			Expect(r.Failure.Field).To(Equal(b.field), "%s %.100v", b.path, b.body)
 		}
 		late := call(http.MethodPost, first.Addr(), "/v1/jobs", submission(newID(token, -time.Second, "x"), "p"))
-		Expect(late.State).To(Equal(job.Failed), "what another entry says of an id past its deadline")
+		Expect(late.State).To(Equal(job.Failed), "the state that another entry reports for an id past its deadline")
 		far := call(http.MethodPost, first.Addr(), "/v1/jobs", submission(newID(token, time.Hour, "x"), "p"))
 		Expect(far).To(haveFailure(fault.DeadlineTooFar, false))
 		Expect(agent.startCounts()).To(BeEmpty())
 		Expect(call(http.MethodPost, first.Addr(), "/v1/jobs", submission(good, "p")).State).To(Equal(job.Complete))
 	})
 
-	// A submission runs, and a copy of it is garbled on its way. Told "not run" about
-	// the copy, its caller would take the task for one that never ran, and bill or
+	// A submission runs, and a copy of it is corrupted in transit. If the reply to the copy
+	// said "not run", the caller would take the task for one that never ran, and bill or
 	// dose a second time under a new id.
-	It("does not say \"not run\" of a garbled copy of a submission that ran", func() {
+	It("does not report \"not run\" for a corrupted copy of a submission that ran", func() {
 		id := newID(token, time.Minute, "ran")
 		Expect(call(http.MethodPost, first.Addr(), "/v1/jobs", submission(id, "p")).State).To(Equal(job.Complete))
 		garbled := call(http.MethodPost, second.Addr(), "/v1/jobs", []byte(`{"id":"`+id+`","tasks":[],"x":1}`))
@@ -157,10 +157,10 @@
 		Expect(empty).To(haveFailure(fault.BadTaskCount, false))
 	})
 
-	// An editor cancels everything at press time: hundreds of jobs at once, of
-	// several owners, some of them ended or never seen.
-	It("cancels in waves across owners and tells of each id", func() {
-		agent.holding(true)
+	// A caller cancels hundreds of jobs at once. They belong to several owners, and some have
+	// ended or are unknown.
+	It("cancels a batch of jobs of several owners and reports a result for each id", func() {
+		agent.setHold(true)
 		var ids []string
 		tokens := []string{token, tokenOf(second.Addr())}
 		for i := range 40 {
@@ -170,20 +170,20 @@
 		}
 		r := call(http.MethodPost, second.Addr(), "/v1/cancel", map[string]any{"ids": append(ids, "nonsense")})
 		Expect(r.status).To(Equal(http.StatusOK))
-		var wave struct {
+		var batch struct {
 			Results []struct {
 				ID      string
 				Failure *fault.Fault
 			}
 		}
-		Expect(json.Unmarshal([]byte(r.raw), &wave)).To(Succeed())
-		Expect(wave.Results).To(HaveLen(41))
+		Expect(json.Unmarshal([]byte(r.raw), &batch)).To(Succeed())
+		Expect(batch.Results).To(HaveLen(41))
 		for i, id := range ids {
-			Expect(wave.Results[i].ID).To(Equal(id))
-			Expect(wave.Results[i].Failure).To(BeNil())
+			Expect(batch.Results[i].ID).To(Equal(id))
+			Expect(batch.Results[i].Failure).To(BeNil())
 			Expect(call(http.MethodGet, first.Addr(), "/v1/jobs/"+id, nil).Failure.Code).To(Equal(fault.Cancelled))
 		}
-		Expect(wave.Results[40].Failure.Code).To(Equal(fault.BadID))
+		Expect(batch.Results[40].Failure.Code).To(Equal(fault.BadID))
 
 		one := newID(token, time.Minute, "one")
 		call(http.MethodPost, first.Addr(), "/v1/jobs?wait_ms=0", submission(one, "p"))
@@ -192,10 +192,10 @@
 	})
 })
 
-var _ = Describe("an owner that is not there", func() {
-	// The owner's process was killed and another started at its address. Its jobs
-	// may have run, so the successor must neither start them nor say "not run".
-	It("is reported gone by its successor and through another entry", func() {
+var _ = Describe("the owner of a forwarded request", func() {
+	// The owner's process was replaced by another at the same address. Its jobs may have
+	// run, so the successor must neither start them nor report "not run".
+	It("is reported gone by its successor and by another entry", func() {
 		former, other := startEntry(GinkgoT()), startEntry(GinkgoT())
 		token := tokenOf(former.Addr())
 		Expect(former.Stop(context.Background())).To(Succeed())
@@ -213,14 +213,14 @@
 			Expect(gone.State).To(Equal(job.Failed))
 			Expect(call(http.MethodGet, addr, "/v1/jobs/"+id, nil)).To(haveFailure(fault.OwnerGone, false))
 			Expect(call(http.MethodDelete, addr, "/v1/jobs/"+id, nil)).To(haveFailure(fault.OwnerGone, false))
-			wave := call(http.MethodPost, addr, "/v1/cancel", map[string]any{"ids": []string{id}}).raw
-			Expect(wave).To(ContainSubstring(`"owner_gone"`))
+			batch := call(http.MethodPost, addr, "/v1/cancel", map[string]any{"ids": []string{id}}).raw
+			Expect(batch).To(ContainSubstring(`"owner_gone"`))
 		}
 		Expect(agent.startCounts()).To(BeEmpty())
 	})
 
-	// Guards against results being lost that reach the forwarding entry past the deadline.
-	It("is quoted with a complete answer past the deadline", func() {
+	// Guards against the loss of results that reach the forwarding entry past the deadline.
+	It("may give a complete answer past the deadline", func() {
 		e := startEntry(GinkgoT())
 		owner := startSlowOwner(200*time.Millisecond, alwaysComplete)
 		late := call(http.MethodPost, e.Addr(), "/v1/jobs", submission(newID(owner.token, 100*time.Millisecond, "late"), "p"))
@@ -229,8 +229,8 @@
 		Expect(early.State).To(Equal(job.Complete))
 	})
 
-	// Guards against "complete" after another entry may have called the outcome unknown.
-	It("is not quoted with a complete answer past the grace, and is asked again", func() {
+	// Guards against "complete" after another entry may have reported the outcome as unknown.
+	It("is asked again if its complete answer arrives past the grace period", func() {
 		e := startEntry(GinkgoT())
 		owner := startSlowOwner(200*time.Millisecond, func(h http.Header) (int, string) {
 			if h.Get(forward.HeaderWithheld) != "" {
@@ -244,17 +244,17 @@
 		Expect(late.Failure.Code).To(Equal(fault.OutcomeUnknown))
 	})
 
-	// Guards against the same where the owner's clock is behind.
-	It("is undecided while it gives complete answers past the grace", func() {
+	// Guards against "complete" past the grace period where the owner's clock is behind.
+	It("leads to \"undecided\" while it gives complete answers past the grace period", func() {
 		e := startEntry(GinkgoT())
 		owner := startSlowOwner(0, alwaysComplete)
 		late := call(http.MethodPost, e.Addr(), "/v1/jobs", submission(newID(owner.token, -job.AnswerGrace, "late"), "p"))
 		Expect(late).To(haveFailure(fault.Undecided, false))
 	})
 
-	// Two entries are configured with each other's address, or an address moved. A
-	// request that went round between them would take both down.
-	It("is not sought by a request that was forwarded already", func() {
+	// Two entries are configured with each other's address, or an address moved. A request
+	// that they forwarded to each other in a loop would overload both.
+	It("is not called for a request that was already forwarded", func() {
 		first, second := startEntry(GinkgoT()), startEntry(GinkgoT())
 		agent := startAgent(GinkgoT(), first.Addr())
 		id := newID(tokenOf(first.Addr()), time.Minute, "job")
@@ -263,9 +263,9 @@
 		Expect(agent.startCounts()).To(BeEmpty())
 	})
 
-	// Entries of two versions run side by side during an upgrade. What the older one
-	// can't decode the owner may understand, and may have started already.
-	It("judges a body that another entry can't decode", func() {
+	// Entries of two versions run side by side during an upgrade. The owner may be able to
+	// decode a body that the older entry can't, and may have started it already.
+	It("decides about a body that another entry can't decode", func() {
 		first, second := startEntry(GinkgoT()), startEntry(GinkgoT())
 		id := newID(tokenOf(first.Addr()), time.Minute, "job")
 		r := call(http.MethodPost, second.Addr(), "/v1/jobs", []byte(`{"id":"`+id+`","of_a_later_version":1}`))
@@ -275,13 +275,13 @@
 	})
 })
 
-var _ = Describe("leaving", func() {
-	// An operator replaces the entry's host. Its callers must get their answers, also
-	// those that poll and are between two questions when the last task ends.
-	It("refuses new work, finishes the rest, waits for its callers and then ends", func() {
+var _ = Describe("draining", func() {
+	// An operator replaces the entry's host. All its callers must get their answers, also
+	// those that poll and have no request open when the last task ends.
+	It("rejects new work, finishes accepted work, waits for its callers and then ends", func() {
 		e, other := startEntry(GinkgoT()), startEntry(GinkgoT())
 		agent := startAgent(GinkgoT(), e.Addr())
-		agent.holding(true)
+		agent.setHold(true)
 		token := tokenOf(e.Addr())
 		waiting, polling := newID(token, time.Minute, "waiting"), newID(token, time.Minute, "polling")
 		replies := make(chan reply, 1)
@@ -301,7 +301,7 @@
 		}).Should(haveFailure(fault.Draining, true))
 		Expect(call(http.MethodPost, e.Addr(), "/v1/jobs?wait_ms=0", submission(polling, "p")).State).To(Equal(job.Pending))
 
-		agent.holding(false)
+		agent.setHold(false)
 		var r reply
 		Eventually(replies).Should(Receive(&r))
 		Expect(r.State).To(Equal(job.Complete))
@@ -311,13 +311,13 @@
 		Expect(e.Stop(context.Background())).To(Succeed())
 	})
 
-	// The only work left is a long task whose caller waits on an open connection. An
-	// entry that ends its listener before the task does cuts the caller off without
-	// an answer, a few seconds after the operator asked for a graceful end.
+	// The only work left is a long task whose caller waits on an open connection. An entry
+	// that shut its server down before the task ended would cut the caller off without an
+	// answer, a few seconds after the operator asked for a graceful shutdown.
 	It("does not cut off a request in progress, however long its task takes", func() {
 		e := startEntry(GinkgoT())
 		agent := startAgent(GinkgoT(), e.Addr())
-		agent.holding(true)
+		agent.setHold(true)
 		id := newID(tokenOf(e.Addr()), time.Minute, "long")
 		replies := make(chan reply, 1)
 		go func() {
@@ -326,16 +326,16 @@
 		}()
 		Eventually(agent.startCounts).Should(HaveLen(1))
 		Expect(call(http.MethodPost, e.Addr(), "/v1/drain", nil).status).To(Equal(http.StatusAccepted))
-		Consistently(e.Done(), "2500ms").ShouldNot(BeClosed()) // longer than the close of idle connections takes
-		agent.holding(false)
+		Consistently(e.Done(), "2500ms").ShouldNot(BeClosed()) // longer than closing idle connections takes
+		agent.setHold(false)
 		var r reply
 		Eventually(replies).Should(Receive(&r))
 		Expect(r.State).To(Equal(job.Complete))
 		Eventually(e.Done(), "5s").Should(BeClosed())
 	})
 
-	// Guards against a drain that cuts off requests which another entry answers.
-	It("does not cut off a request that it passes on", func() {
+	// Guards against a drain that cuts off requests that another entry will answer.
+	It("does not cut off a request that it forwards", func() {
 		e := startEntry(GinkgoT())
 		calls := 0
 		owner := startSlowOwner(400*time.Millisecond, func(h http.Header) (int, string) {
@@ -357,18 +357,18 @@
 		Expect(r.State).To(Equal(job.Complete))
 	})
 
-	// A caller's client holds a connection in reserve that never carried a request.
-	// The drain that has finished everything waited for it, and ended as failed.
+	// A caller's client keeps a connection open that never carried a request. Guards against
+	// a drain that has finished all work, waits for that connection and fails.
 	It("does not wait for connections that were never used", func() {
 		e := startEntry(GinkgoT())
-		reserve, err := net.Dial("tcp", e.Addr())
+		unusedConn, err := net.Dial("tcp", e.Addr())
 		Expect(err).NotTo(HaveOccurred())
-		defer func() { _ = reserve.Close() }()
+		defer func() { _ = unusedConn.Close() }()
 		Expect(call(http.MethodGet, e.Addr(), "/healthz", nil).status).To(Equal(http.StatusOK))
 		Expect(e.Stop(context.Background())).To(Succeed())
 	})
 
-	It("ends with an error when the drain timeout is over first", func() {
+	It("returns an error when the drain timeout expires first", func() {
 		e := startEntry(GinkgoT(), func(o *entry.Options) { o.DrainTimeout = 50 * time.Millisecond })
 		id := newID(tokenOf(e.Addr()), time.Minute, "job")
 		call(http.MethodPost, e.Addr(), "/v1/jobs?wait_ms=0", submission(id, "p"))
@@ -377,9 +377,9 @@
 })
 
 var _ = Describe("an agent's connection", func() {
-	// An agent of another build, or another program altogether, connects. It must
-	// be turned away without harm to the process or to other agents.
-	DescribeTable("is closed when it does not open as it must", func(f *wire.ToEntry) {
+	// An agent of another build, or another program, connects. Its connection must be closed
+	// without an effect on the process or on other agents.
+	DescribeTable("is closed when the hello is missing or invalid", func(f *wire.ToEntry) {
 		e := startEntry(GinkgoT())
 		agent := startAgent(GinkgoT(), e.Addr())
 		conn, err := session.Dial(context.Background(), e.Addr(), session.Options{})
@@ -398,7 +398,7 @@
 	)
 })
 
-var _ = Describe("the operators' pages", func() {
+var _ = Describe("the operators' endpoints", func() {
 	It("show status, targets and metrics as JSON", func() {
 		e := startEntry(GinkgoT(), func(o *entry.Options) { o.DataCentre = "khangai-1" })
 		startAgent(GinkgoT(), e.Addr())
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -28,14 +28,14 @@
 
 const testKey = "a key for tests only"
 
-// startEntry runs a daemon in this process until the test ends.
+// startEntry runs an entry in this process until the test ends.
 func startEntry(t testingT, change ...func(*entry.Options)) *entry.Entry {
 	e := newEntry(t, change...)
 	e.Start()
 	return e
 }
 
-// newEntry returns a daemon that is stopped at the end of the test.
+// newEntry returns an entry that is stopped at the end of the test.
 func newEntry(t testingT, change ...func(*entry.Options)) *entry.Entry {
 	o := entry.Options{Listen: "127.0.0.1:0", Key: testKey, MaxTimeout: 10 * time.Minute, MaxJobs: 10000,
 		Policy: "least-work", CrashOnBreach: true}
@@ -49,18 +49,18 @@
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = e.Stop(ctx) // the test has seen what it wanted
+		_ = e.Stop(ctx) // stopped without a drain, so the error is expected
 	})
 	return e
 }
 
-// testingT is what the harness needs of a test or a benchmark.
+// testingT is the part of testing.TB that the harness uses; GinkgoT() implements it too.
 type testingT interface {
 	Fatalf(format string, args ...any)
 	Cleanup(func())
 }
 
-// reply is a response as a caller sees it.
+// reply is a response: its status, header and body, raw and decoded.
 type reply struct {
 	status int
 	header http.Header
@@ -70,16 +70,16 @@
 
 func call(method, addr, path string, body any, headers ...string) reply {
 	GinkgoHelper()
-	r, err := try(context.Background(), method, addr, path, body, headers...)
+	r, err := send(context.Background(), method, addr, path, body, headers...)
 	Expect(err).NotTo(HaveOccurred())
 	return r
 }
 
-// caller keeps enough connections for the benchmarks' callers.
-var caller = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+// httpClient keeps enough idle connections for the benchmarks' callers.
+var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 
-// try sends one request; a body of []byte goes out as it is.
-func try(ctx context.Context, method, addr, path string, body any, headers ...string) (reply, error) {
+// send sends one request. A body of []byte is sent unchanged, any other as JSON.
+func send(ctx context.Context, method, addr, path string, body any, headers ...string) (reply, error) {
 	encoded, raw := body.([]byte)
 	if !raw && body != nil {
 		encoded, _ = json.Marshal(body)
@@ -91,7 +91,7 @@
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
-	response, err := caller.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return reply{}, err
 	}
@@ -101,7 +101,7 @@
 		return reply{}, err
 	}
 	r := reply{status: response.StatusCode, header: response.Header, raw: string(text)}
-	_ = json.Unmarshal(text, &r.Answer) // replies of another form are read from raw
+	_ = json.Unmarshal(text, &r.Answer) // tests read replies of another form from raw
 	return r, nil
 }
 
@@ -112,16 +112,16 @@
 
 func tokenIn(r reply) string {
 	var body struct{ Token string }
-	_ = json.Unmarshal([]byte(r.raw), &body) // an empty token makes ids that are refused
+	_ = json.Unmarshal([]byte(r.raw), &body) // an empty token makes ids that entries reject
 	return body.Token
 }
 
-// newID makes an id from a token; unique within a test.
+// newID returns an id with the token, a deadline that is in from now, and the unique part.
 func newID(token string, in time.Duration, unique string) string {
 	return token + "-" + strconv.FormatInt(time.Now().Add(in).UnixMilli(), 10) + "-" + unique
 }
 
-// submission is a body with one task per payload.
+// submission returns the body of a submission with one task per payload.
 func submission(id string, payloads ...string) map[string]any {
 	tasks := make([]map[string]any, len(payloads))
 	for i, p := range payloads {
@@ -130,7 +130,7 @@
 	return map[string]any{"id": id, "team": "team", "class": "class", "tasks": tasks}
 }
 
-func numbered(n int) []string {
+func numberedPayloads(n int) []string {
 	payloads := make([]string, n)
 	for i := range payloads {
 		payloads[i] = fmt.Sprint("payload ", i)
@@ -147,13 +147,13 @@
 	}, Equal(fmt.Sprintf("%s not_run=%v status=%d", code, notRun, code.Status())))
 }
 
-// alwaysComplete is an owner's reply.
+// alwaysComplete is a reply function for startSlowOwner that returns a complete answer.
 func alwaysComplete(http.Header) (int, string) { return http.StatusOK, `{"state":"complete"}` }
 
-// slowOwner stands in for an entry that owns submissions and replies late.
+// slowOwner is a fake owner of submissions that replies after a delay.
 type slowOwner struct{ token string }
 
-// startSlowOwner replies after a delay.
+// startSlowOwner starts an owner that delays each reply; reply gets the request's header.
 func startSlowOwner(delay time.Duration, reply func(http.Header) (status int, body string)) *slowOwner {
 	var self job.Owner
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 	return &slowOwner{token: self.Token(job.Key(testKey))}
 }
 
-// fakeAgent serves every task at once by echoing its payload, or holds it back.
+// fakeAgent completes every task at once with its payload as the result, or holds it.
 type fakeAgent struct {
 	mu     sync.Mutex
 	starts map[string]int // by job and task
@@ -177,11 +177,12 @@
 	conn   *session.ToEntryConn
 }
 
-// manyCredits outlasts any benchmark.
+// manyCredits is more credits than any benchmark uses.
 const manyCredits = 1 << 40
 
-// workers numbers the agents' workers: two agents on one worker replace each other.
-var workers atomic.Int64
+// workerCount numbers the agents' workers, because an agent replaces another one on the same
+// worker.
+var workerCount atomic.Int64
 
 func startAgent(t testingT, addr string) *fakeAgent {
 	a := &fakeAgent{starts: map[string]int{}}
@@ -192,7 +193,7 @@
 	a.conn = conn
 	t.Cleanup(func() { conn.Close(nil) })
 	conn.Send(&wire.ToEntry{Hello: &wire.Hello{
-		Version: wire.Version, Incarnation: job.NewIncarnation(), Worker: "worker" + strconv.FormatInt(workers.Add(1), 10),
+		Version: wire.Version, Incarnation: job.NewIncarnation(), Worker: "worker" + strconv.FormatInt(workerCount.Add(1), 10),
 		Target: wire.Target{Name: "target", Slots: 1000, Speed: 1},
 	}})
 	go func() { _ = conn.Serve(a.receive) }()
@@ -210,13 +211,13 @@
 	}
 	a.held = append(a.held, f.Starts...)
 	if !a.hold {
-		a.finish()
+		a.reportHeld()
 	}
 	return nil
 }
 
-// finish reports what was held as done. Call it with the lock held.
-func (a *fakeAgent) finish() {
+// reportHeld reports the held tasks as succeeded. The caller must hold mu.
+func (a *fakeAgent) reportHeld() {
 	if len(a.held) == 0 {
 		return
 	}
@@ -228,16 +229,16 @@
 	a.conn.Send(done)
 }
 
-// holding makes the agent keep its tasks running, or finish them all.
-func (a *fakeAgent) holding(hold bool) {
+// setHold makes the agent hold its tasks, or complete those held and all that follow.
+func (a *fakeAgent) setHold(hold bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hold = hold; !hold {
-		a.finish()
+		a.reportHeld()
 	}
 }
 
-// startCounts returns how often each task was started, by "job/task".
+// startCounts returns how many times each task was started, by "job/task".
 func (a *fakeAgent) startCounts() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/entry/introduce.go
+++ b/internal/entry/introduce.go
@@ -23,26 +23,26 @@
 
 const (
 	pathPeer = "/internal/peer"
-	// introduceEvery is how often an entry repeats itself to those in its settings;
-	// one of them that was restarted has forgotten it. While one can't be reached,
-	// it is tried again after introduceRetry.
-	introduceEvery   = time.Minute
-	introduceRetry   = 2 * time.Second
-	introduceTimeout = time.Second
-	// newsPeers is how many other entries are told of a change that the log brings. One
-	// that lives is enough to tell the successor of an entry that is killed next; all of
-	// them would be messages that rise with the square of the entries.
-	newsPeers = 2
-	// maxPeerAnswer bounds the answer to an introduction: a state in base64.
-	maxPeerAnswer = 2 * config.MaxStateBytes
-	// queryConfig carries the mark of the introducer's configuration.
+	// introduceInterval is the mean interval at which an entry repeats its introduction to
+	// each entry in its settings, which loses it in a restart. An entry that can't be
+	// reached is retried after introduceRetryInterval, also a mean.
+	introduceInterval      = time.Minute
+	introduceRetryInterval = 2 * time.Second
+	introduceTimeout       = time.Second
+	// notifyPeerCount is how many other entries are notified of a change read from the log.
+	// One that stays up is enough to inform the successor of an entry that is killed next;
+	// with all of them, messages would grow with the square of the number of entries.
+	notifyPeerCount = 2
+	// maxPeerAnswerBytes bounds the answer to an introduction, which carries a state in base64.
+	maxPeerAnswerBytes = 2 * config.MaxStateBytes
+	// queryConfig is the query parameter with the mark of the introducer's configuration.
 	queryConfig = "config"
-	// introduction stands in the place of a submission's unique part.
-	introduction = "introduction"
+	// introductionUnique is the unique part of an introduction's id.
+	introductionUnique = "introduction"
 )
 
-// peerBody is how an entry makes itself known to another. The id carries its
-// address under the fleet's signature.
+// peerBody is the body of an introduction, by which one entry becomes known to another. The
+// id carries the introducer's address, signed with the fleet's key.
 type peerBody struct {
 	ID         string `json:"id"`
 	DataCentre string `json:"data_centre"`
@@ -50,36 +50,37 @@
 
 // peerAnswer is the answer to an introduction.
 type peerAnswer struct {
-	// Config is what the introducer's configuration lacks; empty: nothing.
+	// Config is the encoded changes that the introducer lacks; empty if it is up to date.
 	Config []byte `json:"config,omitempty"`
 }
 
-// introduce makes this entry known to those in its settings until it drains. They
-// tell their agents. Without this, a new entry that no agent was given the address
-// of would own submissions and have no targets for them.
+// introduce introduces this entry, again and again until it drains, to one of the entries in
+// its settings, which passes the address on to its agents. Without this, a new entry whose
+// address is in no agent's settings would own submissions and have no targets for them.
 func (e *Entry) introduce(addr string) {
 	for !e.draining.Load() {
-		wait := introduceEvery/2 + rand.N(introduceEvery)
+		wait := introduceInterval/2 + rand.N(introduceInterval)
 		if e.introduceOnce(context.Background(), addr) != nil {
-			wait = introduceRetry/2 + rand.N(introduceRetry)
+			wait = introduceRetryInterval/2 + rand.N(introduceRetryInterval)
 		}
 		select {
 		case <-time.After(wait):
-		case <-e.drainedCh:
+		case <-e.done:
 			return
 		}
 	}
 }
 
-// errIntroductionRefused is an introduction that the other entry did not take.
+// errIntroductionRefused reports that the other entry replied to an introduction with an
+// HTTP status other than 200.
 var errIntroductionRefused = errors.New("the introduction was refused")
 
-// introduceOnce makes this entry known to another and takes what that one's configuration
-// has more. The error is errIntroductionRefused, or the network's.
+// introduceOnce introduces this entry to another one and applies the configuration changes
+// that the reply carries. The error is errIntroductionRefused, or one of the network.
 func (e *Entry) introduceOnce(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
 	defer cancel()
-	request, err := e.introduction(ctx, addr)
+	request, err := e.newIntroduction(ctx, addr)
 	if err != nil {
 		return err
 	}
@@ -87,12 +88,12 @@
 	if err != nil {
 		return errors.Wrap(err, "introduce")
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end, or given up
+	defer func() { _ = response.Body.Close() }() // the body was read or is of no use
 	if response.StatusCode != http.StatusOK {
 		return errors.Wrapf(errIntroductionRefused, "HTTP status %d", response.StatusCode)
 	}
 	var answer peerAnswer
-	err = json.NewDecoder(io.LimitReader(response.Body, maxPeerAnswer)).Decode(&answer)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxPeerAnswerBytes)).Decode(&answer)
 	if err == nil && len(answer.Config) > 0 {
 		err = e.api.config.holder.ApplyUpdate(answer.Config)
 	}
@@ -102,8 +103,8 @@
 	return nil
 }
 
-func (e *Entry) introduction(ctx context.Context, addr string) (*http.Request, error) {
-	id, err := job.NewID(e.api.token, e.clock.Now().Add(introduceEvery), introduction, e.o.key())
+func (e *Entry) newIntroduction(ctx context.Context, addr string) (*http.Request, error) {
+	id, err := job.NewID(e.api.token, e.clock.Now().Add(introduceInterval), introductionUnique, e.o.key())
 	if err != nil {
 		return nil, err
 	}
@@ -111,44 +112,45 @@
 	if err != nil {
 		return nil, err
 	}
-	// In the query, which entries of an older release pass over; they refuse bodies
-	// with fields that they don't know.
+	// The mark is in the query, because entries of an older release ignore unknown query
+	// parameters but reject bodies with unknown fields.
 	query := url.Values{queryConfig: {strconv.FormatUint(e.api.config.holder.Position(), 10)}}
 	target := "http://" + addr + pathPeer + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	request.Close = true // the next one is a minute away
+	request.Close = true // the next one follows about a minute later
 	return request, nil
 }
 
-// spreadNews tells some other entries at once of each change that the log brings. They
-// poll the log seconds apart: were the log to go down now and this entry to be killed,
-// nobody else would know what it had in force.
-func (e *Entry) spreadNews() {
+// announceChanges notifies some other entries at once of each change read from the log.
+// Entries poll the log seconds apart: if the log went down now and this entry were killed,
+// no other process would know the configuration that it had in force.
+func (e *Entry) announceChanges() {
 	for {
 		select {
-		case <-e.api.config.news:
-		case <-e.drainedCh:
+		case <-e.api.config.changed:
+		case <-e.done:
 			return
 		}
-		_ = e.control.Push(func(_ time.Time, c core) { go e.tell(c.Peers()) }) // fails only at the end
+		_ = e.control.Push(func(_ time.Time, c core) { go e.notifyPeers(c.Peers()) }) // fails only when the process ends
 	}
 }
 
-// tell introduces this entry, and with it what it has, to newsPeers of the others. One that
-// does not take it, because it is gone or stands still, is passed over for the next.
-func (e *Entry) tell(peers []wire.Peer) {
+// notifyPeers sends an introduction, which carries the mark of this entry's configuration, to
+// notifyPeerCount of the peers, chosen at random. A peer that doesn't accept it, because it
+// has ended or is frozen, is replaced by the next.
+func (e *Entry) notifyPeers(peers []wire.Peer) {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	untold := make(chan string, len(peers))
+	remaining := make(chan string, len(peers))
 	for _, p := range peers {
-		untold <- p.Addr
+		remaining <- p.Addr
 	}
-	close(untold)
-	for range newsPeers {
+	close(remaining)
+	for range notifyPeerCount {
 		go func() {
-			for addr := range untold {
+			for addr := range remaining {
 				if e.introduceOnce(context.Background(), addr) == nil {
 					return
 				}
@@ -157,12 +159,13 @@
 	}
 }
 
-// takePeer serves POST /internal/peer. An introducer whose configuration is newer is
-// asked for it in turn.
-func (a *api) takePeer(g *gin.Context) {
+// registerPeer serves POST /internal/peer, the introduction of another entry. It fetches the
+// introducer's configuration if that is newer, and replies with the changes that the
+// introducer lacks.
+func (a *api) registerPeer(g *gin.Context) {
 	peer, err := a.decodePeer(g.Request)
-	if err == nil && a.config.behind(g.Query(queryConfig)) {
-		go a.pull(peer.Addr)
+	if err == nil && a.config.isBehind(g.Query(queryConfig)) {
+		go a.pullConfiguration(peer.Addr)
 	}
 	if err == nil {
 		err = a.control.do(func(now time.Time, c core) { c.AddPeers(now, []wire.Peer{peer}) })
@@ -171,7 +174,7 @@
 		writeFault(g, "", err)
 		return
 	}
-	writeJSON(g, http.StatusOK, peerAnswer{Config: a.config.lacking(g.Query(queryConfig))})
+	writeJSON(g, http.StatusOK, peerAnswer{Config: a.config.updateSince(g.Query(queryConfig))})
 }
 
 // decodePeer reads an introduction and checks its signature. The error is a *fault.Fault.
--- a/internal/entry/introduce_test.go
+++ b/internal/entry/introduce_test.go
@@ -13,9 +13,9 @@
 )
 
 var _ = Describe("a new entry", func() {
-	// An operator starts an entry that knows another one, but nobody knows it. Its
-	// submissions would be refused, because no agent ever dials it.
-	It("gets agents of the entry that it names", func() {
+	// A new entry has another one in its settings but is in nobody's settings. Without an
+	// introduction no agent dials it, and its submissions are refused.
+	It("gets the agents of the entry in its settings", func() {
 		old := startEntry(GinkgoT())
 		startWorker("worker-1", old.Addr())
 		added := startEntry(GinkgoT(), func(o *entry.Options) { o.Entries = old.Addr() })
@@ -25,11 +25,11 @@
 	})
 
 	// Guards against an entry that enforces an older configuration than its predecessor
-	// while another one, which may have a newer, is silent.
-	It("takes no work while one that it names is silent", func() {
-		silent, err := net.Listen("tcp", "127.0.0.1:0")
+	// while another one, which may have a newer configuration, doesn't answer.
+	It("accepts no work while an entry in its settings doesn't answer", func() {
+		unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		e := newEntry(GinkgoT(), func(o *entry.Options) { o.Entries = silent.Addr().String() })
+		e := newEntry(GinkgoT(), func(o *entry.Options) { o.Entries = unresponsive.Addr().String() })
 		started := make(chan struct{})
 		go func() {
 			e.Start()
@@ -38,13 +38,13 @@
 		Eventually(func() string { return call(http.MethodGet, e.Addr(), "/v1/token", nil).raw }).Should(ContainSubstring(fault.NoConfiguration.String()))
 		Expect(call(http.MethodGet, e.Addr(), "/healthz", nil)).To(haveFailure(fault.NoConfiguration, true))
 		Consistently(started).ShouldNot(BeClosed())
-		Expect(silent.Close()).To(Succeed())
+		Expect(unresponsive.Close()).To(Succeed())
 		Eventually(started, time.Minute).Should(BeClosed())
 		Expect(call(http.MethodGet, e.Addr(), "/healthz", nil).status).To(Equal(http.StatusOK))
 	})
 
-	// Anybody who reaches the port could send the fleet's agents to any address.
-	It("is believed only under the fleet's signature", func() {
+	// Guards against a client without the fleet's key making agents dial any address.
+	It("is introduced only with the fleet's signature", func() {
 		e := startEntry(GinkgoT())
 		Expect(call(http.MethodPost, e.Addr(), "/internal/peer", []byte(`{"id":"c1-1-x-y-1-z"}`))).To(haveFailure(fault.BadID, true))
 	})
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -7,8 +7,8 @@
 	"github.com/camphorrack/camphorrack/internal/daemon"
 )
 
-// Module wires the daemon for fx. A drain that an operator asked for ends the
-// program like a signal does.
+// Module provides the daemon to fx. A drain requested by an operator ends the program as a
+// signal does.
 func Module(o *Options) fx.Option {
 	return daemon.Program[*Entry]{
 		Name: Program, LogLevel: o.LogLevel, StopTimeout: o.drainTimeout() + 2*closeTimeout,
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -10,9 +10,9 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// drainingRetry is when a caller should try again: the balancer has taken a
-// draining entry out by then.
-const drainingRetry = time.Second
+// drainingRetryAfter is the Retry-After of a draining entry, which the balancer has taken out
+// of rotation by then.
+const drainingRetryAfter = time.Second
 
 type tokenReply struct {
 	Token string `json:"token"`
@@ -25,18 +25,18 @@
 type statusReply struct {
 	owner.Status
 	DataCentre string `json:"data_centre,omitempty"`
-	Unclaimed  int    `json:"unclaimed"` // answers whose callers will still ask
+	Unclaimed  int    `json:"unclaimed"` // answers that callers are still expected to ask for
 }
 
 type drainReply struct {
 	Draining bool `json:"draining"`
 }
 
-// giveToken serves GET /v1/token. A draining entry gives none: ids made from it
-// would only be refused.
-func (a *api) giveToken(g *gin.Context) {
+// issueToken serves GET /v1/token. A draining entry issues none, since it would reject the
+// submissions whose ids are made from it.
+func (a *api) issueToken(g *gin.Context) {
 	if a.draining.Load() {
-		writeFault(g, "", fault.Refused(fault.Draining, "this entry is leaving; ask another", drainingRetry))
+		writeFault(g, "", fault.Refused(fault.Draining, "this entry is leaving; ask another", drainingRetryAfter))
 		return
 	}
 	writeJSON(g, http.StatusOK, tokenReply{a.token})
@@ -62,7 +62,7 @@
 	writeJSON(g, http.StatusOK, reply)
 }
 
-// startDrain serves POST /v1/drain; asking again changes nothing.
+// startDrain serves POST /v1/drain. A repeated request has no further effect.
 func (a *api) startDrain(g *gin.Context) {
 	a.drain()
 	writeJSON(g, http.StatusAccepted, drainReply{true})
@@ -71,14 +71,14 @@
 // health serves GET /healthz for the balancer.
 func (a *api) health(g *gin.Context) {
 	if a.draining.Load() {
-		writeFault(g, "", fault.Refused(fault.Draining, "this entry is leaving", drainingRetry))
+		writeFault(g, "", fault.Refused(fault.Draining, "this entry is leaving", drainingRetryAfter))
 		return
 	}
 	writeJSON(g, http.StatusOK, drainReply{false})
 }
 
-// giveMetrics serves GET /metrics.
-func (a *api) giveMetrics(g *gin.Context) {
+// serveMetrics serves GET /metrics.
+func (a *api) serveMetrics(g *gin.Context) {
 	var status owner.Status
 	if err := a.control.do(func(_ time.Time, c core) { status = c.Status() }); err != nil {
 		writeFault(g, "", err)
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -1,9 +1,9 @@
-// Package entry is the daemon that callers talk to. It serves their HTTP API, owns
-// the submissions whose ids carry its token, passes the others on to their owners,
-// and serves the agents' connections.
+// Package entry is the daemon that serves callers. It serves their HTTP API, owns the
+// submissions whose ids carry its token, forwards the others to their owners, and serves the
+// agents' connections.
 //
-// The control state (internal/owner) belongs to one goroutine; the goroutines of
-// HTTP requests and of agents' connections hand it commands through a channel.
+// The control state (internal/owner) belongs to one goroutine; the goroutines of HTTP
+// requests and of agents' connections send it commands through a channel.
 package entry
 
 import (
@@ -24,7 +24,7 @@
 // Program is the daemon's name.
 const Program = "camphorrack-entry"
 
-// minKeyBytes is the shortest key that signs tokens.
+// minKeyBytes is the minimum length of the key that signs tokens.
 const minKeyBytes = 16
 
 // Options are the daemon's settings.
@@ -35,22 +35,24 @@
 	Entries          string // addresses of other entries, comma separated
 	Key              string
 	LogURL           string             // base URL of the platform's log; empty: configuration comes from agents alone
-	OpenLog          platformlog.Opener // needed with Log
-	SnapshotInterval time.Duration      // of the configuration; at most half of the log's retention
+	OpenLog          platformlog.Opener // required with LogURL
+	SnapshotInterval time.Duration      // longest time between snapshots of the configuration; at most half of the log's retention
 	MaxTimeout       time.Duration
 	MaxJobs          int
-	LogPlacements    int
+	LogPlacements    int // one task placement in so many is logged; 0: none
 	LogLevel         int
 	Policy           string
 	CrashOnBreach    bool
-	// DrainTimeout bounds a graceful shutdown; 0 means as long as a job may take.
+	// DrainTimeout bounds a graceful shutdown; 0 means MaxTimeout and drainSlack.
 	DrainTimeout time.Duration
 }
 
-// drainSlack is added to the longest job to give its caller time to fetch the answer.
+// drainSlack is added to MaxTimeout, so that the caller of the longest job has time to fetch
+// its answer.
 const drainSlack = 5 * time.Second
 
-// Define adds the daemon's settings to a set and returns where they will be read to.
+// Define registers the daemon's settings in a set and returns the options that loading the
+// set fills in.
 func Define(s *settings.Set) *Options {
 	o := &Options{}
 	s.StringVar(&o.Listen, "listen", "127.0.0.1:7400", "address for callers, other entries and agents")
@@ -67,17 +69,17 @@
 	s.StringVar(&o.Policy, "policy", string(owner.PolicyLeastWork), "how tasks reach targets: "+policyNames())
 	s.BoolVar(&o.CrashOnBreach, "crash-on-breach", false, "end the process when an invariant is broken")
 	s.DurationVar(&o.DrainTimeout, "drain-timeout", 0, "longest graceful shutdown (default: max-timeout and 5s more)")
-	o.check(s, key)
+	o.addChecks(s, key)
 	return o
 }
 
-func (o *Options) check(s *settings.Set, key *string) {
+func (o *Options) addChecks(s *settings.Set, key *string) {
 	s.AddCheck("listen", func() string { return settings.CheckAddr(o.Listen) })
 	s.AddCheck("advertise", o.checkAdvertise)
 	s.AddCheck("entries", func() string {
 		for _, addr := range o.entries() {
-			if wrong := settings.CheckAddr(addr); wrong != "" {
-				return wrong
+			if message := settings.CheckAddr(addr); message != "" {
+				return message
 			}
 		}
 		return ""
@@ -89,7 +91,7 @@
 	s.AddCheck("max-timeout", func() string {
 		return settings.MessageIf(o.MaxTimeout < time.Second || o.MaxTimeout > 24*time.Hour, "takes 1s to 24h")
 	})
-	s.AddCheck("log", func() string { return checkLog(o.LogURL) })
+	s.AddCheck("log", func() string { return checkLogURL(o.LogURL) })
 	s.AddCheck("snapshot-every", func() string { return settings.MessageIf(o.SnapshotInterval < time.Second, "takes 1s or more") })
 	s.AddCheck("max-jobs", func() string { return settings.MessageIf(o.MaxJobs < 1, "takes 1 or more") })
 	s.AddCheck("log-placements", func() string { return settings.MessageIf(o.LogPlacements < 0, "takes 0 or more") })
@@ -100,7 +102,7 @@
 	s.AddCheck("drain-timeout", func() string { return settings.MessageIf(o.DrainTimeout < 0, "takes 0 or more") })
 }
 
-func checkLog(base string) string {
+func checkLogURL(base string) string {
 	if base == "" {
 		return ""
 	}
@@ -108,18 +110,18 @@
 	return settings.MessageIf(err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https", "takes a base URL")
 }
 
-// checkAdvertise refuses an address that others can't dial. Tokens carry it, so a
-// wildcard would send every forwarded request to the forwarder's own host.
+// checkAdvertise rejects an address that others can't dial. Tokens carry the address, so with
+// a wildcard every entry that forwards a request would send it to its own host.
 func (o *Options) checkAdvertise() string {
-	addr, from := o.Advertise, ""
+	addr, prefix := o.Advertise, ""
 	if addr == "" {
-		addr, from = o.Listen, "needed, since -listen names no single address; "
+		addr, prefix = o.Listen, "needed, since -listen names no single address; "
 	}
 	parsed, err := netip.ParseAddrPort(addr)
 	if o.Advertise == "" && settings.CheckAddr(o.Listen) != "" {
 		return "" // reported for -listen
 	}
-	return settings.MessageIf(err != nil || parsed.Addr().IsUnspecified(), from+"takes ip:port with a single address")
+	return settings.MessageIf(err != nil || parsed.Addr().IsUnspecified(), prefix+"takes ip:port with a single address")
 }
 
 func policyNames() string {
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -22,7 +22,7 @@
 	"github.com/camphorrack/camphorrack/internal/standin/target"
 )
 
-// startBehindRelay runs an entry that everybody reaches through a relay.
+// startBehindRelay runs an entry that all others reach through a relay.
 func startBehindRelay() *relay.Relay {
 	r, err := relay.New()
 	Expect(err).NotTo(HaveOccurred())
@@ -43,16 +43,16 @@
 	Expect(err).NotTo(HaveOccurred())
 	t.Start()
 	DeferCleanup(func() {
-		ended, cancel := context.WithCancel(context.Background())
+		expired, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = t.Stop(ended)
-		_ = a.Stop(ended)
+		_ = t.Stop(expired)
+		_ = a.Stop(expired)
 	})
 	return t.Addr()
 }
 
-// startsAt adds up a target's counts of starts, by "job/task".
-func startsAt(addr string, sum map[string]int) {
+// addStarts adds a target's counts of starts to sum, by "job/task".
+func addStarts(addr string, sum map[string]int) {
 	GinkgoHelper()
 	var body struct{ Counts map[string]int }
 	raw := call(http.MethodGet, addr, "/starts", nil).raw
@@ -62,12 +62,11 @@
 	}
 }
 
-var _ = Describe("the paths between all processes", func() {
-	// Devices on the paths lose track of connections again and again, in one
-	// direction or both, while callers resubmit through whichever entry answers. No
-	// process dies, so every job must complete for everybody who asks, with each
-	// task run once; a caller must notice no more than a delay.
-	It("may lose their connections at any time without a task lost or done twice", func(ctx context.Context) {
+var _ = Describe("the network between all processes", func() {
+	// Network devices drop the state of connections repeatedly, in one direction or both,
+	// while callers resubmit through whichever entry answers. No process ends, so every job
+	// must complete for every caller, with each task run once; a caller may only see a delay.
+	It("may drop connections at any time without a task lost or run twice", func(ctx context.Context) {
 		relays := []*relay.Relay{startBehindRelay(), startBehindRelay()}
 		addrs := []string{relays[0].Addr(), relays[1].Addr()}
 		targets := []string{startWorker("one", addrs...), startWorker("two", addrs...)}
@@ -102,22 +101,22 @@
 				Expect(string(result)).To(Equal(fmt.Sprintf("%s/%d", number, t)))
 			}
 		}
-		caller.CloseIdleConnections() // they went silent too
-		var lost, silent int
+		httpClient.CloseIdleConnections() // the cuts affect these too
+		var failedCalls, silentConns int
 		for _, addr := range addrs {
 			var metrics struct {
 				Lost   struct{ Count int } `json:"forward.lost"`
 				Silent struct{ Value int } `json:"sessions.closed_silent"`
 			}
 			Expect(json.Unmarshal([]byte(call(http.MethodGet, addr, "/metrics", nil).raw), &metrics)).To(Succeed())
-			lost += metrics.Lost.Count
-			silent += metrics.Silent.Value
+			failedCalls += metrics.Lost.Count
+			silentConns += metrics.Silent.Value
 		}
-		Expect([]int{lost, silent}).To(HaveEach(BeNumerically(">", 0)), "the cuts hit something")
-		GinkgoWriter.Println("calls lost between entries:", lost, "connections found silent by entries:", silent)
+		Expect([]int{failedCalls, silentConns}).To(HaveEach(BeNumerically(">", 0)), "the cuts must affect connections in use")
+		GinkgoWriter.Println("failed calls between entries:", failedCalls, "connections that entries closed as silent:", silentConns)
 		counts := map[string]int{}
 		for _, addr := range targets {
-			startsAt(addr, counts)
+			addStarts(addr, counts)
 		}
 		Expect(counts).To(HaveEach(1))
 		Expect(len(counts)).To(BeNumerically(">=", 60))
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -15,16 +15,16 @@
 
 const contentJSON = "application/json; charset=utf-8"
 
-// failure is the reply where there is no answer to a submission. State is set only
-// where the fault is a final answer in itself.
+// failure is the reply to a request that has no answer to a submission. State is set only
+// if the fault is itself the final answer.
 type failure struct {
 	ID      string       `json:"id,omitempty"`
 	State   job.State    `json:"state,omitempty"`
 	Failure *fault.Fault `json:"failure"`
 }
 
-// writeAnswer writes the answer to a submission, final or pending. It returns
-// false where the answer could not be written whole.
+// writeAnswer writes the answer to a submission, final or pending. It returns false if the
+// answer could not be written completely.
 func writeAnswer(g *gin.Context, a job.Answer) bool {
 	switch {
 	case a.State == job.Pending:
@@ -32,16 +32,16 @@
 	case a.Failure == nil:
 		return writeJSON(g, http.StatusOK, a)
 	}
-	noteFault(g, a.Failure)
+	recordFault(g, a.Failure)
 	return writeJSON(g, a.Failure.Code.Status(), a)
 }
 
-// writeFault writes an error that is, or wraps, a *fault.Fault. Anything else
-// leaves open what happened and is told as "undecided".
+// writeFault writes the fault that err is or wraps. Any other error leaves the outcome open
+// and is reported as "undecided".
 func writeFault(g *gin.Context, id string, err error) {
 	f := asFault(err)
-	noteFault(g, f)
-	writeJSON(g, f.Code.Status(), failure{ID: id, State: stateOf(f), Failure: f})
+	recordFault(g, f)
+	writeJSON(g, f.Code.Status(), failure{ID: id, State: finalState(f), Failure: f})
 }
 
 func asFault(err error) *fault.Fault {
@@ -50,18 +50,19 @@
 		return f
 	}
 	undecided := fault.New(fault.Undecided, err.Error())
-	undecided.RetryAfterMs = busyAfter.Milliseconds()
+	undecided.RetryAfterMs = enqueueTimeout.Milliseconds()
 	return undecided
 }
 
-// stateOf returns the state that a fault is the final answer for, or "".
-func stateOf(f *fault.Fault) job.State {
+// finalState returns the final state of a job whose answer is the fault, or "" if the fault is
+// not a final answer.
+func finalState(f *fault.Fault) job.State {
 	switch {
 	case f.Code == fault.OwnerGone || f.Code == fault.OutcomeUnknown:
 		return job.Failed
 	case f.Code == fault.DeadlinePast:
-		// Another entry may have told a copy of the request that it failed, while the
-		// owner could not be reached. "Refused" would be a second, other ending.
+		// While the owner could not be reached, another entry may have replied "failed" to a
+		// copy of the request. "Refused" would be a second, different final state.
 		return job.Failed
 	case f.NotRun:
 		return job.Refused
@@ -69,14 +70,15 @@
 	return ""
 }
 
-// keyFault holds the name of the fault that a request was answered with, for the counters.
-const keyFault = "fault"
+// contextKeyFault is the key in the request's context for the name of the fault that was
+// replied, which the counters use.
+const contextKeyFault = "fault"
 
-// noteFault sets what a fault tells besides the body.
-func noteFault(g *gin.Context, f *fault.Fault) {
-	g.Set(keyFault, f.Code.String())
+// recordFault stores the fault's name for the counters and sets the Retry-After header.
+func recordFault(g *gin.Context, f *fault.Fault) {
+	g.Set(contextKeyFault, f.Code.String())
 	if f.RetryAfterMs > 0 {
-		seconds := (f.RetryAfterMs + 999) / 1000 // the header knows whole seconds only
+		seconds := (f.RetryAfterMs + 999) / 1000 // the header takes whole seconds only
 		g.Header("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 }
@@ -99,7 +101,7 @@
 	return err == nil
 }
 
-// writeReply passes an owner's reply on as it is.
+// writeReply writes an owner's reply unchanged.
 func writeReply(g *gin.Context, r *forward.Reply) {
 	if r.RetryAfter != "" {
 		g.Header("Retry-After", r.RetryAfter)
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -16,11 +16,11 @@
 	// defaultTimeout is the time to the deadline of a submission without an id:
 	// several times the longest usual task.
 	defaultTimeout = 30 * time.Second
-	// waitSlack is how long a wait for the final answer goes on past the deadline,
-	// at which the owner gives it.
+	// waitSlack is how long a wait for the final answer continues past the deadline, at
+	// which the owner gives it.
 	waitSlack = time.Second
 	// bodyTimeout bounds the reading of a body, so that a caller that sends a byte
-	// a minute can't hold a connection and a buffer for ever.
+	// a minute can't hold a connection and a buffer indefinitely.
 	bodyTimeout = 30 * time.Second
 )
 
@@ -39,19 +39,19 @@
 		}
 		b, err := decodeSubmission(body, single)
 		if err != nil {
-			a.undecodable(g, body, wait, given, err)
+			a.handleUndecodable(g, body, wait, given, err)
 			return
 		}
-		id, err := a.identify(b.ID)
+		id, err := a.parseOrCreateID(b.ID)
 		if err != nil {
 			writeFault(g, b.ID, err)
 			return
 		}
 		if !given {
-			wait = a.untilAnswered(id)
+			wait = a.defaultWait(id)
 		}
 		if !a.owns(id) {
-			a.pass(g, id, a.request(g, id, body, wait))
+			a.forwardToOwner(g, id, a.ownerRequest(g, id, body, wait))
 			return
 		}
 		b.Submission.ID = id
@@ -59,29 +59,30 @@
 	}
 }
 
-// undecodable handles a body that this entry can't decode. Where it names another
-// owner, only that one may judge it: entries of two versions side by side would
-// otherwise disagree, and one say "not run" of what the other has started.
-func (a *api) undecodable(g *gin.Context, body []byte, wait time.Duration, given bool, cause error) {
+// handleUndecodable handles a body that this entry can't decode. If its id names another
+// owner, only that owner may reject it: entries of two versions side by side would otherwise
+// disagree, and one could report "not run" for a submission that the other has started.
+func (a *api) handleUndecodable(g *gin.Context, body []byte, wait time.Duration, given bool, cause error) {
 	id, err := job.ParseID(peekID(body), a.key)
 	if err != nil {
 		writeFault(g, "", cause)
 		return
 	}
 	if a.owns(id) {
-		writeFault(g, id.String(), a.unlessKnown(id, cause))
+		writeFault(g, id.String(), a.clearNotRunIfKnown(id, cause))
 		return
 	}
 	if !given {
-		wait = a.untilAnswered(id)
+		wait = a.defaultWait(id)
 	}
-	a.pass(g, id, a.request(g, id, body, wait))
+	a.forwardToOwner(g, id, a.ownerRequest(g, id, body, wait))
 }
 
-// accept hands a submission that this entry owns to the control state.
+// accept validates a submission that this entry owns, submits it to the control state and
+// writes the answer.
 func (a *api) accept(g *gin.Context, s *job.Submission, wait time.Duration) {
 	if err := s.Validate(); err != nil {
-		writeFault(g, s.ID.String(), a.unlessKnown(s.ID, err))
+		writeFault(g, s.ID.String(), a.clearNotRunIfKnown(s.ID, err))
 		return
 	}
 	a.await(g, s.ID, wait, func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
@@ -89,10 +90,10 @@
 	})
 }
 
-// unlessKnown withdraws the "not run" of a fault where the id is known: a copy of a
-// submission that was garbled on its way says nothing about the one that came
-// before, which may have run.
-func (a *api) unlessKnown(id job.ID, err error) error {
+// clearNotRunIfKnown returns a copy of the fault without "not run" if the id is known, or if
+// the control state can't be asked: a copy of a submission that was corrupted in transit
+// says nothing about an earlier copy, which may have run.
+func (a *api) clearNotRunIfKnown(id job.ID, err error) error {
 	f := *asFault(err)
 	known := true
 	if doErr := a.control.do(func(_ time.Time, c core) { known = c.HasID(id) }); doErr != nil {
@@ -115,14 +116,14 @@
 		return
 	}
 	if !given {
-		wait = a.untilAnswered(id)
+		wait = a.defaultWait(id)
 	}
 	if !a.owns(id) {
-		a.pass(g, id, a.request(g, id, nil, wait))
+		a.forwardToOwner(g, id, a.ownerRequest(g, id, nil, wait))
 		return
 	}
 	if g.GetHeader(forward.HeaderWithheld) != "" {
-		a.await(g, id, wait, withheld(id))
+		a.await(g, id, wait, withholdAndAwait(id))
 		return
 	}
 	a.await(g, id, wait, func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
@@ -130,8 +131,8 @@
 	})
 }
 
-// identify parses a submission's id, or makes one where the caller left it out.
-func (a *api) identify(text string) (job.ID, error) {
+// parseOrCreateID parses a submission's id, or creates one if the caller left it out.
+func (a *api) parseOrCreateID(text string) (job.ID, error) {
 	if text != "" {
 		return job.ParseID(text, a.key)
 	}
@@ -141,9 +142,9 @@
 
 func (a *api) owns(id job.ID) bool { return id.Owner.Incarnation == a.owner.Incarnation }
 
-// untilAnswered is the wait of a caller who named none: the owner gives the final
-// answer by the deadline.
-func (a *api) untilAnswered(id job.ID) time.Duration {
+// defaultWait returns the wait for a request that specifies none: until the deadline, by
+// which the owner gives the final answer, and waitSlack more.
+func (a *api) defaultWait(id job.ID) time.Duration {
 	return min(max(id.Deadline.Sub(a.clock.Now()), 0), maxWait) + waitSlack
 }
 
--- a/internal/entry/unclaimed.go
+++ b/internal/entry/unclaimed.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// unclaimed remembers the submissions whose callers were told "pending", or whose
-// connections broke, and who have not had the answer since. They ask again within
-// moments; an entry that ended as soon as its last job did would turn their
-// finished jobs into unknown outcomes. A draining entry therefore stays until they
-// have been, or until their deadlines, after which no complete answer is given.
+// unclaimed holds the ids of submissions whose callers were told "pending", or whose callers'
+// connections broke, and that have not received the answer since. These callers ask again
+// within moments; an entry that ended as soon as its last job did would turn their finished
+// jobs into unknown outcomes. A draining entry therefore keeps running until they have their
+// answers, or until their deadlines, after which no complete answer is given.
 type unclaimed struct {
 	mu        sync.Mutex
 	deadlines map[string]time.Time // by submission id
-	swept     time.Time
+	lastSweep time.Time
 }
 
-// sweepEvery spreads the cost of forgetting callers that never came back.
-const sweepEvery = 5 * time.Second
+// sweepInterval is the least time between two removals of expired ids by add. It limits the
+// cost of callers that never ask again.
+const sweepInterval = 5 * time.Second
 
 func newUnclaimed() *unclaimed { return &unclaimed{deadlines: map[string]time.Time{}} }
 
-// add notes that a caller will come back for an answer.
+// add records that a caller is expected to ask for an answer again, until the deadline.
 func (u *unclaimed) add(now time.Time, id string, deadline time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.deadlines[id] = deadline
-	if now.Sub(u.swept) > sweepEvery {
+	if now.Sub(u.lastSweep) > sweepInterval {
 		u.sweep(now)
 	}
 }
 
-// claimed notes that the answer was delivered.
-func (u *unclaimed) claimed(id string) {
+// remove removes a submission whose answer was delivered.
+func (u *unclaimed) remove(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.deadlines, id)
 }
 
-// len returns how many callers may still come back.
+// len returns how many submissions are still unclaimed, after removing the expired ones.
 func (u *unclaimed) len(now time.Time) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -47,7 +48,7 @@
 }
 
 func (u *unclaimed) sweep(now time.Time) {
-	u.swept = now
+	u.lastSweep = now
 	for id, deadline := range u.deadlines {
 		if now.After(deadline) {
 			delete(u.deadlines, id)
--- a/internal/entry/unclaimed_test.go
+++ b/internal/entry/unclaimed_test.go
@@ -7,16 +7,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// Callers who were told "pending" and never come back must not hold up a drain, or
+// Callers that were told "pending" and never ask again must not delay a drain, or occupy
 // memory, past their deadlines.
-func TestUnclaimedAnswersAreForgottenAtTheirDeadlines(t *testing.T) {
+func TestUnclaimedAnswersExpireAtTheirDeadlines(t *testing.T) {
 	g := NewWithT(t)
 	now := time.UnixMilli(1_800_000_000_000)
 	u := newUnclaimed()
 	u.add(now, "a", now.Add(time.Second))
 	u.add(now, "b", now.Add(time.Minute))
 	u.add(now, "c", now.Add(time.Minute))
-	u.claimed("c")
+	u.remove("c")
 	g.Expect(u.len(now)).To(Equal(2))
 	g.Expect(u.len(now.Add(time.Second + time.Millisecond))).To(Equal(1))
 	u.add(now.Add(2*time.Minute), "d", now.Add(3*time.Minute))
--- a/internal/entry/wave.go
+++ b/internal/entry/wave.go
@@ -14,17 +14,17 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// wave is a wave of cancellations being worked off.
-type wave struct {
+// cancelBatch is a batch of cancellations in progress.
+type cancelBatch struct {
 	api     *api
 	results []cancelResult
-	groups  map[job.Owner]*group
+	groups  map[job.Owner]*ownerGroup
 }
 
-// group is the part of a wave that one owner has to cancel.
-type group struct {
-	ids    []job.ID
-	places []int // in the wave's results
+// ownerGroup is the part of a batch that one owner has to cancel.
+type ownerGroup struct {
+	ids     []job.ID
+	indexes []int // in the batch's results
 }
 
 // cancelMany serves POST /v1/cancel.
@@ -34,62 +34,63 @@
 		writeFault(g, "", err)
 		return
 	}
-	texts, err := decodeCancel(body)
+	idTexts, err := decodeCancel(body)
 	if err != nil {
 		writeFault(g, "", err)
 		return
 	}
-	w := a.newWave(texts)
+	batch := a.newCancelBatch(idTexts)
 	var owners sync.WaitGroup
-	for o, part := range w.groups {
-		owners.Go(func() { w.settle(part, w.cancel(g, o, part)) })
+	for o, group := range batch.groups {
+		owners.Go(func() { batch.setFaults(group, batch.cancel(g, o, group)) })
 	}
 	owners.Wait()
-	writeJSON(g, http.StatusOK, cancelResults{w.results})
+	writeJSON(g, http.StatusOK, cancelResults{batch.results})
 }
 
-func (a *api) newWave(texts []string) *wave {
-	w := &wave{api: a, results: make([]cancelResult, len(texts)), groups: map[job.Owner]*group{}}
-	for i, text := range texts {
-		w.results[i].ID = text
-		id, err := job.ParseID(text, a.key)
+func (a *api) newCancelBatch(idTexts []string) *cancelBatch {
+	b := &cancelBatch{api: a, results: make([]cancelResult, len(idTexts)), groups: map[job.Owner]*ownerGroup{}}
+	for i, idText := range idTexts {
+		b.results[i].ID = idText
+		id, err := job.ParseID(idText, a.key)
 		if err != nil {
-			w.results[i].Failure = asFault(err)
+			b.results[i].Failure = asFault(err)
 			continue
 		}
-		part := w.groups[id.Owner]
-		if part == nil {
-			part = &group{}
-			w.groups[id.Owner] = part
+		group := b.groups[id.Owner]
+		if group == nil {
+			group = &ownerGroup{}
+			b.groups[id.Owner] = group
 		}
-		part.ids = append(part.ids, id)
-		part.places = append(part.places, i)
+		group.ids = append(group.ids, id)
+		group.indexes = append(group.indexes, i)
 	}
-	return w
+	return b
 }
 
-// settle writes a group's outcomes; groups share no places.
-func (w *wave) settle(part *group, faults []*fault.Fault) {
-	for i, place := range part.places {
-		w.results[place].Failure = faults[i]
+// setFaults stores a group's outcomes in the results. Groups share no indexes, so they may be
+// stored concurrently.
+func (b *cancelBatch) setFaults(group *ownerGroup, faults []*fault.Fault) {
+	for i, index := range group.indexes {
+		b.results[index].Failure = faults[i]
 	}
 }
 
-func (w *wave) cancel(g *gin.Context, o job.Owner, part *group) []*fault.Fault {
-	if o.Incarnation == w.api.owner.Incarnation {
-		return w.api.cancelOwn(part.ids)
+func (b *cancelBatch) cancel(g *gin.Context, o job.Owner, group *ownerGroup) []*fault.Fault {
+	if o.Incarnation == b.api.owner.Incarnation {
+		return b.api.cancelOwned(group.ids)
 	}
-	if f := w.api.dontPass(g, o); f != nil {
-		return repeated(f, len(part.ids))
+	if f := b.api.checkForwardable(g, o); f != nil {
+		return repeatFault(f, len(group.ids))
 	}
-	faults, err := w.pass(g.Request.Context(), o, part)
+	faults, err := b.forward(g.Request.Context(), o, group)
 	if err != nil {
-		return repeated(asFault(err), len(part.ids))
+		return repeatFault(asFault(err), len(group.ids))
 	}
 	return faults
 }
 
-func repeated(f *fault.Fault, n int) []*fault.Fault {
+func repeatFault(f *fault.Fault, n int) []*fault.Fault {
 	faults := make([]*fault.Fault, n)
 	for i := range faults {
 		faults[i] = f
@@ -97,51 +98,52 @@
 	return faults
 }
 
-// pass sends a group on to its owner.
-func (w *wave) pass(ctx context.Context, o job.Owner, part *group) ([]*fault.Fault, error) {
+// forward forwards a group to its owner. The faults are in the order of its ids; nil means
+// success.
+func (b *cancelBatch) forward(ctx context.Context, o job.Owner, group *ownerGroup) ([]*fault.Fault, error) {
 	request := forward.Request{Owner: o, Method: http.MethodPost, Path: pathCancel}
-	texts := make([]string, len(part.ids))
-	for i, id := range part.ids {
-		texts[i] = id.String()
+	idTexts := make([]string, len(group.ids))
+	for i, id := range group.ids {
+		idTexts[i] = id.String()
 		if id.Deadline.After(request.Deadline) {
 			request.Deadline = id.Deadline
 		}
 	}
-	body, err := json.Marshal(cancelBody{IDs: texts})
+	body, err := json.Marshal(cancelBody{IDs: idTexts})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode ids")
 	}
 	request.Body = body
-	reply, err := w.api.forwarder.Do(ctx, request)
+	reply, err := b.api.forwarder.Do(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	return readCancelled(reply, len(texts))
+	return decodeCancelReply(reply, len(idTexts))
 }
 
-func readCancelled(reply *forward.Reply, want int) ([]*fault.Fault, error) {
-	var answer struct {
+func decodeCancelReply(reply *forward.Reply, want int) ([]*fault.Fault, error) {
+	var body struct {
 		cancelResults
 		failure
 	}
-	if err := json.Unmarshal(reply.Body, &answer); err != nil {
+	if err := json.Unmarshal(reply.Body, &body); err != nil {
 		return nil, errors.Wrap(err, "decode the owner's reply")
 	}
-	if answer.Failure != nil {
-		return nil, answer.Failure
+	if body.Failure != nil {
+		return nil, body.Failure
 	}
-	if len(answer.Results) != want {
-		return nil, errors.WithStack(&wrongReplyError{Want: want, Got: len(answer.Results)})
+	if len(body.Results) != want {
+		return nil, errors.WithStack(&resultCountError{Want: want, Got: len(body.Results)})
 	}
 	faults := make([]*fault.Fault, want)
 	for i := range faults {
-		faults[i] = answer.Results[i].Failure
+		faults[i] = body.Results[i].Failure
 	}
 	return faults, nil
 }
 
-// wrongReplyError is an owner's reply with another number of results than ids.
-type wrongReplyError struct{ Want, Got int }
+// resultCountError reports an owner's reply whose number of results is not that of the ids.
+type resultCountError struct{ Want, Got int }
 
 // Error implements error.
-func (e *wrongReplyError) Error() string { return "the owner's reply has another number of results" }
+func (e *resultCountError) Error() string { return "the owner's reply has another number of results" }
