--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -67,9 +67,9 @@
 // outcome as unknown, which it does from forward.MaxClockSkew after that time.
 func (a *api) pastAnswerGrace(id job.ID) bool { return !a.clock.Now().Before(id.AnswerableUntil()) }
 
-// withholdAndAwait returns a function for await that records that the owner's complete
-// answer came too late to be given, and asks for the answer again.
-func withholdAndAwait(id job.ID) func(time.Time, core, owner.AnswerFunc) (func(), error) {
+// markUndeliveredAndAwait returns a function for await that records that the owner's complete
+// answer was not delivered in time, and asks for the answer again.
+func markUndeliveredAndAwait(id job.ID) func(time.Time, core, owner.AnswerFunc) (func(), error) {
 	return func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
 		c.MarkUndelivered(id)
 		return c.Await(now, id, w)
@@ -81,11 +81,11 @@
 	callerGone := g.Request.Context().Err() != nil
 	switch {
 	case answer.State == job.Complete && callerGone:
-		// The caller never read this answer. Unless it is withheld, a caller that asks again
-		// after the grace period is told that it was given.
+		// The caller never read this answer. Unless it is marked undelivered, a caller that asks
+		// again after the grace period is told that it was given.
 		_ = a.control.post(func(_ time.Time, c core) { c.MarkUndelivered(id) }) // on failure, it counts as given
 	case answer.State == job.Complete && a.pastAnswerGrace(id):
-		a.await(g, id, 0, withholdAndAwait(id))
+		a.await(g, id, 0, markUndeliveredAndAwait(id))
 		return
 	}
 	written := writeAnswer(g, answer) && !callerGone && g.Request.Context().Err() == nil
--- a/internal/entry/answers_test.go
+++ b/internal/entry/answers_test.go
@@ -19,17 +19,17 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// fakeCore is a control state that has one job's answer and counts calls of Withhold.
+// fakeCore is a control state that has one job's answer and counts calls of MarkUndelivered.
 type fakeCore struct {
 	core
-	answer   job.Answer
-	withheld int
+	answer      job.Answer
+	undelivered int
 }
 
 func (h *fakeCore) Tick(time.Time)         {}
 func (h *fakeCore) Flush()                 {}
 func (h *fakeCore) Idle() bool             { return true }
-func (h *fakeCore) MarkUndelivered(job.ID) { h.withheld++ }
+func (h *fakeCore) MarkUndelivered(job.ID) { h.undelivered++ }
 
 func (h *fakeCore) Await(_ time.Time, _ job.ID, w owner.AnswerFunc) (func(), error) {
 	w(h.answer)
@@ -79,7 +79,7 @@
 	c.clock.Advance(job.AnswerGrace - time.Millisecond)
 	status, _ := c.deliver(job.Complete, nil)
 	c.Expect(status).To(Equal(http.StatusOK))
-	c.Expect(c.core.withheld).To(BeZero())
+	c.Expect(c.core.undelivered).To(BeZero())
 }
 
 // Guards against "complete" after another entry may have called the outcome unknown.
@@ -89,22 +89,22 @@
 	status, answer := c.deliver(job.Complete, nil)
 	c.Expect(status).To(Equal(fault.OutcomeUnknown.Status()))
 	c.Expect(answer.State).To(Equal(job.Failed))
-	c.Expect(c.core.withheld).To(Equal(1))
+	c.Expect(c.core.undelivered).To(Equal(1))
 	status, _ = c.deliver(job.Failed, fault.New(fault.Cancelled, ""))
 	c.Expect(status).To(Equal(fault.Cancelled.Status()))
 }
 
 // Guards against an answer counting as given although its caller had disconnected.
-func TestAnswerIsWithheldWhenCallerDisconnects(t *testing.T) {
+func TestAnswerIsUndeliveredWhenCallerDisconnects(t *testing.T) {
 	c := newAnswerFixture(t)
 	ctx, leave := context.WithCancel(context.Background())
 	c.deliverWithContext(ctx, job.Complete, nil)
-	c.Expect(c.core.withheld).To(BeZero())
+	c.Expect(c.core.undelivered).To(BeZero())
 	leave()
 	c.deliverWithContext(ctx, job.Complete, nil)
 	c.Expect(c.api.control.do(func(time.Time, core) {})).To(Succeed())
-	c.Expect(c.core.withheld).To(Equal(1))
+	c.Expect(c.core.undelivered).To(Equal(1))
 	c.deliverWithContext(ctx, job.Failed, fault.New(fault.Cancelled, ""))
 	c.Expect(c.api.control.do(func(time.Time, core) {})).To(Succeed())
-	c.Expect(c.core.withheld).To(Equal(1))
+	c.Expect(c.core.undelivered).To(Equal(1))
 }
--- a/internal/entry/catchup.go
+++ b/internal/entry/catchup.go
@@ -34,7 +34,7 @@
 
 // catchUp fetches the newest configuration before the entry accepts work: from the log or, if
 // that can't be read, from every entry in the settings. Agents receive a change up to
-// config.FanOutSpread later than entries: with the first configuration from an agent, an entry
+// config.MaxFanOutDelay later than entries: with the first configuration from an agent, an entry
 // could enforce an older one than its predecessor. It returns what confirmed the configuration,
 // and the entries that have not answered.
 func (e *Entry) catchUp() (confirmedBy string, unanswered []string) {
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -18,7 +18,7 @@
 // configuration keeps the entry's configuration. It reads changes from the platform's log
 // and from agents, sends them to agents, and applies them to the control state.
 type configuration struct {
-	holder   *config.Replica
+	replica  *config.Replica
 	fanOut   *config.FanOut
 	follower *follower.Follower // nil without a log: changes then come from agents alone
 	changed  chan struct{}      // signals a change that was read from the log
@@ -27,11 +27,11 @@
 
 func newConfiguration(e *Entry) *configuration {
 	self := e.api.owner
-	where := config.Location{DataCentre: e.o.DataCentre, Entry: self.Addr.String()}
-	c := &configuration{holder: config.NewReplica(where, e.clock, e.log), fanOut: config.NewFanOut(nil), changed: make(chan struct{}, 1)}
+	location := config.Location{DataCentre: e.o.DataCentre, Entry: self.Addr.String()}
+	c := &configuration{replica: config.NewReplica(location, e.clock, e.log), fanOut: config.NewFanOut(nil), changed: make(chan struct{}, 1)}
 	if e.o.LogURL != "" {
 		c.follower = follower.New(follower.Options{
-			Log: e.o.OpenLog(e.o.LogURL), Replica: c.holder, Clock: e.clock, Logger: e.log,
+			Log: e.o.OpenLog(e.o.LogURL), Replica: c.replica, Clock: e.clock, Logger: e.log,
 			Rand: c.newRand(), SnapshotInterval: e.o.SnapshotInterval,
 		})
 	}
@@ -49,7 +49,7 @@
 func (c *configuration) start(k *controlLoop) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	c.holder.Watch(func(a *config.Applied) {
+	c.replica.Watch(func(a *config.Applied) {
 		if a.State.Version == 0 {
 			return // the control state starts with the built-in defaults
 		}
@@ -59,7 +59,7 @@
 		// In a goroutine, because Push blocks while the command queue is full. The command
 		// reads the newest configuration when it runs, so an older one can't be applied last.
 		go func() {
-			_ = k.Push(func(now time.Time, core core) { core.Configure(now, c.holder.Get()) }) // fails only when the process ends
+			_ = k.Push(func(now time.Time, core core) { core.Configure(now, c.replica.Get()) }) // fails only when the process ends
 		}()
 	})
 	go c.fanOut.Run(ctx)
@@ -85,9 +85,9 @@
 
 // open adds a new agent's connection to those that changes are sent to.
 func (c *configuration) open(s *agentSession) {
-	link := config.NewEntryLink(c.holder, c.newRand())
-	s.config = c.fanOut.Add(link, func(mark uint64, update []byte) {
-		s.conn.Send(&wire.ToAgent{Version: mark, Config: update})
+	link := config.NewEntryLink(c.replica, c.newRand())
+	s.config = c.fanOut.Add(link, func(position uint64, update []byte) {
+		s.conn.Send(&wire.ToAgent{Version: position, Config: update})
 	})
 }
 
@@ -104,21 +104,21 @@
 	}
 }
 
-// isBehind reports whether another entry, at the given mark, has a newer configuration than
+// isBehind reports whether another entry, at the given position, has a newer configuration than
 // this one.
-func (c *configuration) isBehind(mark string) bool {
-	peerMark, err := strconv.ParseUint(mark, 10, 64)
-	return err == nil && peerMark > c.holder.Position()
+func (c *configuration) isBehind(position string) bool {
+	peerPosition, err := strconv.ParseUint(position, 10, 64)
+	return err == nil && peerPosition > c.replica.Position()
 }
 
-// updateSince returns the encoded changes that another entry at the given mark lacks. It
-// returns nil if that entry is up to date, or sent no mark, as entries of an older release do.
-func (c *configuration) updateSince(mark string) []byte {
-	peerMark, err := strconv.ParseUint(mark, 10, 64)
-	if err != nil || peerMark >= c.holder.Position() {
+// updateSince returns the encoded changes that another entry at the given position lacks. It
+// returns nil if that entry is up to date, or sent no position, as entries of an older release do.
+func (c *configuration) updateSince(position string) []byte {
+	peerPosition, err := strconv.ParseUint(position, 10, 64)
+	if err != nil || peerPosition >= c.replica.Position() {
 		return nil
 	}
-	update, err := c.holder.EncodeUpdate(peerMark)
+	update, err := c.replica.EncodeUpdate(peerPosition)
 	if err != nil {
 		return nil // a state that can't be encoded is one the peer can't have either
 	}
@@ -145,7 +145,7 @@
 		f.Wake()
 	}
 	deadline := time.Now().Add(refreshTimeout)
-	for a.config.holder.Get().State.Version < version && time.Now().Before(deadline) && g.Request.Context().Err() == nil {
+	for a.config.replica.Get().State.Version < version && time.Now().Before(deadline) && g.Request.Context().Err() == nil {
 		time.Sleep(refreshPoll)
 	}
 	a.serveConfiguration(g)
@@ -153,5 +153,5 @@
 
 // serveConfiguration serves GET /v1/config.
 func (a *api) serveConfiguration(g *gin.Context) {
-	writeJSON(g, http.StatusOK, a.config.holder.Report())
+	writeJSON(g, http.StatusOK, a.config.replica.Report())
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -108,7 +108,7 @@
 	}
 	e.api.config = newConfiguration(e)
 	e.api.agents.config = e.api.config
-	metrics.RegisterConfig(e.api.config.holder)
+	metrics.RegisterConfig(e.api.config.replica)
 	e.unused = httpconn.NewUnusedConns()
 	e.server = &http.Server{
 		ConnState: e.unused.Track,
@@ -139,7 +139,7 @@
 	go e.announceChanges()
 	event.Log(e.log, event.ProcessStarted, "addr", e.Addr(), "advertise", e.api.owner.Addr.String(),
 		"incarnation", e.api.owner.Incarnation.String(), "data_centre", e.o.DataCentre, "policy", e.o.Policy,
-		"config_version", e.api.config.holder.Get().State.Version, "config_confirmed_by", confirmedBy,
+		"config_version", e.api.config.replica.Get().State.Version, "config_confirmed_by", confirmedBy,
 		"silent_entries", strings.Join(unanswered, ","))
 }
 
--- a/internal/entry/introduce.go
+++ b/internal/entry/introduce.go
@@ -35,7 +35,7 @@
 	notifyPeerCount = 2
 	// maxPeerAnswerBytes bounds the answer to an introduction, which carries a state in base64.
 	maxPeerAnswerBytes = 2 * config.MaxStateBytes
-	// queryConfig is the query parameter with the mark of the introducer's configuration.
+	// queryConfig is the query parameter with the position of the introducer's configuration.
 	queryConfig = "config"
 	// introductionUnique is the unique part of an introduction's id.
 	introductionUnique = "introduction"
@@ -95,7 +95,7 @@
 	var answer peerAnswer
 	err = json.NewDecoder(io.LimitReader(response.Body, maxPeerAnswerBytes)).Decode(&answer)
 	if err == nil && len(answer.Config) > 0 {
-		err = e.api.config.holder.ApplyUpdate(answer.Config)
+		err = e.api.config.replica.ApplyUpdate(answer.Config)
 	}
 	if err != nil {
 		event.Log(e.log, event.BadFrame, "peer", addr, "reason", "answer to an introduction", "error", err.Error())
@@ -112,9 +112,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// The mark is in the query, because entries of an older release ignore unknown query
+	// The position is in the query, because entries of an older release ignore unknown query
 	// parameters but reject bodies with unknown fields.
-	query := url.Values{queryConfig: {strconv.FormatUint(e.api.config.holder.Position(), 10)}}
+	query := url.Values{queryConfig: {strconv.FormatUint(e.api.config.replica.Position(), 10)}}
 	target := "http://" + addr + pathPeer + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// notifyPeers sends an introduction, which carries the mark of this entry's configuration, to
+// notifyPeers sends an introduction, which carries the position of this entry's configuration, to
 // notifyPeerCount of the peers, chosen at random. A peer that doesn't accept it, because it
 // has ended or is frozen, is replaced by the next.
 func (e *Entry) notifyPeers(peers []wire.Peer) {
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if g.GetHeader(forward.HeaderWithheld) != "" {
-		a.await(g, id, wait, withholdAndAwait(id))
+		a.await(g, id, wait, markUndeliveredAndAwait(id))
 		return
 	}
 	a.await(g, id, wait, func(now time.Time, c core, w owner.AnswerFunc) (func(), error) {
