--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -100,6 +100,8 @@
 	})
 }
 
+// open validates the first frame and connects the agent to the control state. The error is a
+// *helloError, or control.ErrStopped.
 func (s *agentSession) open(f *wire.ToEntry) error {
 	if f.Hello == nil {
 		return &helloError{"it is missing from the first frame"}
@@ -118,6 +120,7 @@
 	})
 }
 
+// handleDisconnect logs the end of the connection and removes it from the control state.
 func (s *agentSession) handleDisconnect(err error) {
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -88,6 +88,7 @@
 
 var lastUnique atomic.Int64
 
+// benchRequests sends jobs of so many tasks from parallel callers and waits for the answers.
 func benchRequests(b *testing.B, addr, token string, tasks int) {
 	payloads := numberedPayloads(tasks)
 	b.SetParallelism(4)
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -75,6 +75,7 @@
 	})}
 }
 
+// currentTickInterval returns the time until the next tick.
 func currentTickInterval(c core) time.Duration {
 	if c.Idle() {
 		return idleTickInterval
--- a/internal/entry/reply.go
+++ b/internal/entry/reply.go
@@ -44,6 +44,7 @@
 	writeJSON(g, f.Code.Status(), failure{ID: id, State: finalState(f), Failure: f})
 }
 
+// asFault returns the fault that err is or wraps, or else an undecided one.
 func asFault(err error) *fault.Fault {
 	var f *fault.Fault
 	if errors.As(err, &f) {
--- a/internal/entry/submissions.go
+++ b/internal/entry/submissions.go
@@ -140,6 +140,7 @@
 	return job.NewID(a.token, a.clock.Now().Add(timeout), rand.Text(), a.key)
 }
 
+// owns reports whether this run of the process is the owner in the id.
 func (a *api) owns(id job.ID) bool { return id.Owner.Incarnation == a.owner.Incarnation }
 
 // defaultWait returns the wait for a request that specifies none: until the deadline, by
--- a/internal/entry/wave.go
+++ b/internal/entry/wave.go
@@ -48,6 +48,7 @@
 	writeJSON(g, http.StatusOK, cancelResults{batch.results})
 }
 
+// newCancelBatch groups the ids by their owners. An invalid id gets its fault at once.
 func (a *api) newCancelBatch(idTexts []string) *cancelBatch {
 	b := &cancelBatch{api: a, results: make([]cancelResult, len(idTexts)), groups: map[job.Owner]*ownerGroup{}}
 	for i, idText := range idTexts {
@@ -76,6 +77,8 @@
 	}
 }
 
+// cancel cancels a group, here or at another entry. The faults are in the order of its ids;
+// nil means success.
 func (b *cancelBatch) cancel(g *gin.Context, o job.Owner, group *ownerGroup) []*fault.Fault {
 	if o.Incarnation == b.api.owner.Incarnation {
 		return b.api.cancelOwned(group.ids)
@@ -121,6 +124,8 @@
 	return decodeCancelReply(reply, len(idTexts))
 }
 
+// decodeCancelReply returns the faults in an owner's reply, which must have want results. An
+// error applies to all ids.
 func decodeCancelReply(reply *forward.Reply, want int) ([]*fault.Fault, error) {
 	var body struct {
 		cancelResults
