--- a/apps/camphorrack-bench/main.go
+++ b/apps/camphorrack-bench/main.go
@@ -20,11 +20,11 @@
 func main() {
 	set := settings.New("camphorrack-bench", os.Stdout)
 	o := bench.Options{Out: os.Stdout}
-	set.StringVar(&o.Bin, "bin", "bin", "directory of the built programs")
+	set.StringVar(&o.BinDir, "bin", "bin", "directory of the built programs")
 	set.StringVar(&o.LogDir, "logs", "", "existing directory for the processes' logs; empty: none are kept")
 	set.IntVar(&o.Seeds, "seeds", 3, "runs for each scenario and policy")
 	set.DurationVar(&o.Duration, "duration", time.Minute, "how long jobs arrive in a run")
-	set.Float64Var(&o.Scale, "scale", 1, "multiplies every task's time, to get as many jobs in less time")
+	set.Float64Var(&o.TimeScale, "scale", 1, "multiplies every task's time, to get as many jobs in less time")
 	set.IntVar(&o.Parallel, "parallel", 1, "runs at a time, each on a fleet of its own")
 	set.BoolVar(&o.Wide, "wide", true, "print every figure before the lines")
 	scenarios := set.String("scenarios", "all", "scenarios, comma separated; \"short\": the short set; \"all\": "+strings.Join(scenarioNames(), ","))
@@ -32,7 +32,7 @@
 	set.AddCheck("scenarios", func() string { return selectScenarios(&o, *scenarios) })
 	set.AddCheck("policies", func() string { return selectPolicies(&o, *policies) })
 	set.AddCheck("scale", func() string {
-		if o.Scale <= 0 || o.Scale > 1 {
+		if o.TimeScale <= 0 || o.TimeScale > 1 {
 			return "takes more than 0, up to 1"
 		}
 		return ""
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -20,18 +20,18 @@
 
 // Options of a series of runs.
 type Options struct {
-	Bin       string // directory of the built programs
+	BinDir    string // directory of the built programs
 	LogDir    string // where processes' logs go; empty: nowhere
 	Scenarios []Scenario
 	Policies  []owner.Policy
 	Seeds     int           // runs per scenario and policy
 	Duration  time.Duration // for which jobs arrive in a run
-	// Scale shortens every task by a factor below 1, to get as many jobs in less
+	// TimeScale shortens every task by a factor below 1, to get as many jobs in less
 	// time. The overhead of the path then weighs more against the ideal.
-	Scale    float64
-	Parallel int // runs at a time, each on a fleet of its own
-	Wide     bool
-	Out      io.Writer
+	TimeScale float64
+	Parallel  int // runs at a time, each on a fleet of its own
+	Wide      bool
+	Out       io.Writer
 }
 
 // one is one run to be done.
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -48,8 +48,8 @@
 		r := rand.New(rand.NewPCG(1, 2))
 		w := newWork(r, scenario("steady-0.8"), 1)
 		Expect(float64(w.submission.Tasks[0].EstimateMs)).To(BeNumerically("<=", w.longestMs+1))
-		Expect(OffBy10.declare(r, 0, 500)).To(BeEquivalentTo(50))
-		Expect(OffBy10.declare(r, 2, 500)).To(BeEquivalentTo(5000))
+		Expect(TenfoldClassError.declare(r, 0, 500)).To(BeEquivalentTo(50))
+		Expect(TenfoldClassError.declare(r, 2, 500)).To(BeEquivalentTo(5000))
 	})
 
 	// Each end of a job counts once, or a policy that drops jobs looks fast.
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -108,7 +108,7 @@
 
 func (c *callers) step(ctx context.Context, s Step) {
 	sleepUntil(ctx, c.begun.Add(time.Duration(s.At*float64(c.options.Duration))))
-	if err := s.Do(ctx, c); err != nil {
+	if err := s.Action(ctx, c); err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.errs = append(c.errs, err)
@@ -118,15 +118,15 @@
 // arrive submits one caller's part of the jobs, as a Poisson process.
 func (c *callers) arrive(ctx context.Context, caller int) {
 	r := rand.New(rand.NewPCG(c.run.seed, uint64(caller)))
-	perMs := capacity() / (c.run.scenario.Mix.meanJobMs() * c.options.Scale) / callerCount
+	perMs := capacity() / (c.run.scenario.Mix.meanJobMs() * c.options.TimeScale) / callerCount
 	next := c.begun
 	for n := 0; ; n++ {
-		rate := perMs * c.run.scenario.Load(c.share(next))
+		rate := perMs * c.run.scenario.LoadAt(c.share(next))
 		next = next.Add(time.Duration(r.ExpFloat64() / rate * float64(time.Millisecond)))
 		if c.share(next) >= 1 || ctx.Err() != nil {
 			return
 		}
-		w := newWork(r, c.run.scenario, c.options.Scale)
+		w := newWork(r, c.run.scenario, c.options.TimeScale)
 		entry := c.pickEntry(r)
 		sleepUntil(ctx, next)
 		c.submit(ctx, w, entry, next, fmt.Sprintf("c%d-%d", caller, n))
@@ -134,7 +134,7 @@
 }
 
 func (c *callers) pickEntry(r *rand.Rand) int {
-	if c.run.scenario.FirstEntry > 0 && r.Float64() < c.run.scenario.FirstEntry {
+	if c.run.scenario.FirstEntryShare > 0 && r.Float64() < c.run.scenario.FirstEntryShare {
 		return 0
 	}
 	return r.IntN(entryCount)
@@ -148,9 +148,9 @@
 // submit sends a job in the background. Its response counts from the time at which
 // it was due, so that a late caller of ours does not flatter the system.
 func (c *callers) submit(ctx context.Context, w work, entry int, due time.Time, unique string) {
-	limit := time.Duration(float64(c.run.scenario.Deadline) * c.options.Scale)
+	limit := time.Duration(float64(c.run.scenario.Deadline) * c.options.TimeScale)
 	at := c.share(due)
-	s := &sent{work: w, at: at, measured: at >= c.run.scenario.From && at < c.run.scenario.Until}
+	s := &sent{work: w, at: at, measured: at >= c.run.scenario.MeasureFrom && at < c.run.scenario.MeasureUntil}
 	c.mu.Lock()
 	s.id = client.NewID(c.tokens[entry], time.Now().Add(limit), unique)
 	c.sent = append(c.sent, s)
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -59,7 +59,7 @@
 
 func startFleet(ctx context.Context, o Options, p owner.Policy) (*fleet, error) {
 	f := &fleet{
-		Fleet:   localfleet.New(localfleet.Options{Bin: o.Bin, LogDir: o.LogDir, Key: benchKey}),
+		Fleet:   localfleet.New(localfleet.Options{BinDir: o.BinDir, LogDir: o.LogDir, Key: benchKey}),
 		policy:  p,
 		entries: make([]*localfleet.Process, entryCount),
 	}
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -16,29 +16,29 @@
 // Mix is the run times of tasks, in milliseconds at speed 1: uniform from Low to
 // High, and for a share of LongShare uniform from LongLow to LongHigh.
 type Mix struct {
-	Low, High         float64
-	LongShare         float64
-	LongLow, LongHigh float64
+	MinMs, MaxMs         float64
+	LongShare            float64
+	LongMinMs, LongMaxMs float64
 }
 
 var (
-	usualMix = Mix{Low: 50, High: 1000, LongShare: 0.03, LongLow: 2000, LongHigh: 5000}
+	usualMix = Mix{MinMs: 50, MaxMs: 1000, LongShare: 0.03, LongMinMs: 2000, LongMaxMs: 5000}
 	// longAmongShort is checks of 50 to 100 ms with tasks of 5 s in between, which
 	// take three quarters of the time.
-	longAmongShort = Mix{Low: 50, High: 100, LongShare: 0.05, LongLow: 4500, LongHigh: 5500}
+	longAmongShort = Mix{MinMs: 50, MaxMs: 100, LongShare: 0.05, LongMinMs: 4500, LongMaxMs: 5500}
 )
 
 func (m Mix) draw(r *rand.Rand) float64 {
-	low, high := m.Low, m.High
+	low, high := m.MinMs, m.MaxMs
 	if r.Float64() < m.LongShare {
-		low, high = m.LongLow, m.LongHigh
+		low, high = m.LongMinMs, m.LongMaxMs
 	}
 	return low + (high-low)*r.Float64()
 }
 
 // meanJobMs is the mean work of a job.
 func (m Mix) meanJobMs() float64 {
-	task := (1-m.LongShare)*(m.Low+m.High)/2 + m.LongShare*(m.LongLow+m.LongHigh)/2
+	task := (1-m.LongShare)*(m.MinMs+m.MaxMs)/2 + m.LongShare*(m.LongMinMs+m.LongMaxMs)/2
 	tasks := 0
 	for _, n := range jobSizes {
 		tasks += n
@@ -46,24 +46,24 @@
 	return task * float64(tasks) / float64(len(jobSizes))
 }
 
-// Declared says how declared run times relate to real ones.
-type Declared int
+// EstimateError says how declared run times relate to real ones.
+type EstimateError int
 
 // Ways to declare.
 const (
-	Rightly Declared = iota
-	OffByE           // at random, with a standard deviation of a factor of e
-	OffBy10          // a third of the classes ten times too short, a third ten times too long
+	ExactEstimate     EstimateError = iota
+	LogNormalError                  // at random, with a standard deviation of a factor of e
+	TenfoldClassError               // a third of the classes ten times too short, a third ten times too long
 )
 
 // classes that jobs are spread over.
 var classes = []string{"short", "true", "long"}
 
-func (d Declared) declare(r *rand.Rand, class int, ms float64) int64 {
+func (d EstimateError) declare(r *rand.Rand, class int, ms float64) int64 {
 	switch d {
-	case OffByE:
+	case LogNormalError:
 		ms *= math.Exp(r.NormFloat64())
-	case OffBy10:
+	case TenfoldClassError:
 		ms *= math.Pow(10, float64(class-1))
 	}
 	return int64(max(math.Round(ms), 1))
@@ -86,7 +86,7 @@
 		w.longestMs = max(w.longestMs, ms)
 		// A struct of two plain fields always encodes.
 		payload, _ := json.Marshal(target.Workload{RunMs: ms, Echo: strconv.Itoa(n)})
-		w.submission.Tasks = append(w.submission.Tasks, job.Task{Payload: payload, EstimateMs: s.Declared.declare(r, class, ms)})
+		w.submission.Tasks = append(w.submission.Tasks, job.Task{Payload: payload, EstimateMs: s.EstimateError.declare(r, class, ms)})
 	}
 	return w
 }
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -55,7 +55,7 @@
 	result := newResult()
 	result.runs = 1
 	result.networkMs = c.networkMs
-	result.windowMs = (r.scenario.Until - r.scenario.From) * clock.Millis(o.Duration)
+	result.windowMs = (r.scenario.MeasureUntil - r.scenario.MeasureFrom) * clock.Millis(o.Duration)
 	result.errs = c.errs
 	for _, s := range c.sent {
 		result.add(r.scenario, s, c.networkMs)
@@ -67,7 +67,7 @@
 	complete := s.answer != nil && s.answer.State == job.Complete
 	if complete {
 		r.usedMsgs += uint64(len(s.work.submission.Tasks))
-		if s.endedAt >= scenario.From && s.endedAt < scenario.Until {
+		if s.endedAt >= scenario.MeasureFrom && s.endedAt < scenario.MeasureUntil {
 			r.goodMs += s.work.totalMs
 		}
 		if !s.work.whole(s.answer.Results) {
--- a/internal/config/processes_test.go
+++ b/internal/config/processes_test.go
@@ -35,7 +35,7 @@
 
 // fleetWithLog starts the stand-in of the log in a fleet that ends with the test.
 func fleetWithLog(ctx context.Context, flags ...string) (f *localfleet.Fleet, logURL string) {
-	f = localfleet.New(localfleet.Options{Bin: buildDaemons(), Key: "a key that only this test knows"})
+	f = localfleet.New(localfleet.Options{BinDir: buildDaemons(), Key: "a key that only this test knows"})
 	DeferCleanup(f.Close)
 	DeferCleanup(showTails, f) // before the fleet is closed
 	DeferCleanup(showLosses, tcpCounters())
@@ -101,7 +101,7 @@
 	}
 	time.Sleep(stallReport)
 	for _, p := range f.Processes() {
-		AddReportEntry(p.Name, strings.Join(p.Tail(), "\n"))
+		AddReportEntry(p.Name, strings.Join(p.LogTail(), "\n"))
 	}
 }
 
--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -178,7 +178,7 @@
 	defer c.Close()
 	had := o.had(p)
 	state, err := c.Config(ctx)
-	if err != nil || p.Ended() {
+	if err != nil || p.Exited() {
 		return nil // a reply may have come from its successor
 	}
 	o.saw(p, state.Version, had)
--- a/internal/demo/drive.go
+++ b/internal/demo/drive.go
@@ -183,10 +183,10 @@
 
 func (v *Verdict) judgeProcesses(crashed, unclean []*localfleet.Process) {
 	for _, p := range crashed {
-		v.breach(RuleProcesses, p.Name, "ended by itself; its last log lines: %q", p.Tail())
+		v.breach(RuleProcesses, p.Name, "ended by itself; its last log lines: %q", p.LogTail())
 	}
 	for _, p := range unclean {
-		v.breach(RuleProcesses, p.Name, "did not end gracefully after SIGTERM; its last log lines: %q", p.Tail())
+		v.breach(RuleProcesses, p.Name, "did not end gracefully after SIGTERM; its last log lines: %q", p.LogTail())
 	}
 }
 
--- a/internal/demo/standstill.go
+++ b/internal/demo/standstill.go
@@ -66,7 +66,7 @@
 func (s *deployment) running() []*localfleet.Process {
 	var all []*localfleet.Process
 	for _, p := range s.fleet.Processes() {
-		if !p.Ended() {
+		if !p.Exited() {
 			all = append(all, p)
 		}
 	}
@@ -77,7 +77,7 @@
 // as a whole.
 func (s *deployment) within(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := s.fleet.AfterRunning(limit, func() { cancel(context.DeadlineExceeded) })
+	stop := s.fleet.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
--- a/internal/localfleet/bench_test.go
+++ b/internal/localfleet/bench_test.go
@@ -33,7 +33,7 @@
 		b.Skip("set " + envBin)
 	}
 	ctx := context.Background()
-	f := New(Options{Bin: bin, Key: rand.Text()})
+	f := New(Options{BinDir: bin, Key: rand.Text()})
 	b.Cleanup(func() { f.Close() })
 	entry, err := f.StartEntry(ctx, "entry", "", nil)
 	must(b, err)
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -25,7 +25,7 @@
 
 // Options of a fleet.
 type Options struct {
-	Bin    string // directory of the programs
+	BinDir string // directory of the programs
 	LogDir string // where each process's log goes; empty: nowhere
 	Key    string // the secret that all daemons of the fleet share
 }
--- a/internal/localfleet/fleet_test.go
+++ b/internal/localfleet/fleet_test.go
@@ -46,7 +46,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	bin := GinkgoT().TempDir()
 	Expect(os.Symlink(self, filepath.Join(bin, entryProgram))).To(Succeed())
-	f := New(Options{Bin: bin})
+	f := New(Options{BinDir: bin})
 	DeferCleanup(f.Close)
 	return f
 }
@@ -69,7 +69,7 @@
 		var start *StartError
 		Expect(errors.As(err, &start)).To(BeTrue())
 		Expect(err).To(MatchError(errEnded))
-		Expect(start.Tail).To(ContainElement(ContainSubstring("bad_setting")))
+		Expect(start.LogTail).To(ContainElement(ContainSubstring("bad_setting")))
 	})
 
 	// A daemon crashes in the middle of a run. Its work is answered by others, so
--- a/internal/localfleet/membership_test.go
+++ b/internal/localfleet/membership_test.go
@@ -58,7 +58,7 @@
 
 func membershipRound(b *testing.B, bin string) map[string]time.Duration {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &membershipFleet{Fleet: New(Options{Bin: bin, Key: rand.Text()}), b: b}
+	f := &membershipFleet{Fleet: New(Options{BinDir: bin, Key: rand.Text()}), b: b}
 	defer f.Close()
 	for i := range 6 {
 		f.startEntry(ctx, i)
--- a/internal/localfleet/pause.go
+++ b/internal/localfleet/pause.go
@@ -92,7 +92,7 @@
 	f.pauses.begin()
 	var paused []*Process
 	for _, p := range f.Processes() {
-		if !p.Ended() {
+		if !p.Exited() {
 			p.Pause()
 			paused = append(paused, p)
 		}
@@ -105,8 +105,8 @@
 	}
 }
 
-// AfterRunning calls f once so much time has passed in which the fleet was not paused as
+// AfterFunc calls f once so much time has passed in which the fleet was not paused as
 // a whole.
-func (f *Fleet) AfterRunning(limit time.Duration, do func()) (stop func()) {
+func (f *Fleet) AfterFunc(limit time.Duration, do func()) (stop func()) {
 	return f.pauses.afterRunning(limit, do)
 }
--- a/internal/localfleet/process.go
+++ b/internal/localfleet/process.go
@@ -29,16 +29,16 @@
 
 // StartError is a process that did not come up.
 type StartError struct {
-	Name  string
-	Cause error
-	Tail  []string // its last log lines
+	Name    string
+	Cause   error
+	LogTail []string // its last log lines
 }
 
 // Error implements error.
 func (e *StartError) Error() string {
 	text := e.Name + " did not start: " + e.Cause.Error()
-	if len(e.Tail) > 0 {
-		text += "; its last log line: " + e.Tail[len(e.Tail)-1]
+	if len(e.LogTail) > 0 {
+		text += "; its last log line: " + e.LogTail[len(e.LogTail)-1]
 	}
 	return text
 }
@@ -78,7 +78,7 @@
 
 // start starts a program of the bin directory and waits until it serves.
 func (f *Fleet) start(ctx context.Context, name, program string, args ...string) (*Process, error) {
-	cmd := exec.Command(filepath.Join(f.options.Bin, program), args...)
+	cmd := exec.Command(filepath.Join(f.options.BinDir, program), args...)
 	// By the environment, because arguments show in process lists.
 	cmd.Env = append(os.Environ(), settings.EnvName("key")+"="+f.options.Key)
 	// A group of its own, so that a ^C at the terminal reaches this program
@@ -155,8 +155,8 @@
 	}
 }
 
-// Tail returns the last lines of the log.
-func (p *Process) Tail() []string {
+// LogTail returns the last lines of the log.
+func (p *Process) LogTail() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.tail...)
@@ -177,7 +177,7 @@
 	case <-ctx.Done():
 		cause = ctx.Err()
 	}
-	return &StartError{Name: p.Name, Cause: cause, Tail: p.Tail()}
+	return &StartError{Name: p.Name, Cause: cause, LogTail: p.LogTail()}
 }
 
 // PID returns the process id.
@@ -232,9 +232,9 @@
 	p.killed = p.killed || kill
 }
 
-// Ended reports whether the process has ended. While it has not, nobody else can
+// Exited reports whether the process has ended. While it has not, nobody else can
 // answer at its address.
-func (p *Process) Ended() bool {
+func (p *Process) Exited() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -245,7 +245,7 @@
 
 // Crashed reports whether the process ended although nobody asked it to.
 func (p *Process) Crashed() bool {
-	if !p.Ended() {
+	if !p.Exited() {
 		return false
 	}
 	p.mu.Lock()
