--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/camphorrack/camphorrack/internal/fault"
-	"github.com/camphorrack/camphorrack/internal/silence"
+	"github.com/camphorrack/camphorrack/internal/watchdog"
 )
 
 // maxReplyBytes limits the size of a reply; a larger one counts as a failed call.
@@ -40,7 +40,7 @@
 func (c *Client) send(ctx context.Context, entry string, k call) (*reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := silence.NewWatchdog(k.wait+c.options.CallTimeout, cancel)
+	watch := watchdog.NewWatchdog(k.wait+c.options.CallTimeout, cancel)
 	defer watch.Stop()
 	requestURL := url.URL{Scheme: "http", Host: entry, Path: k.path}
 	if k.acceptsWait {
@@ -62,10 +62,10 @@
 }
 
 // newTransportError returns the error of a call without a complete reply. Its cause is
-// silence.ErrSilent if the watchdog cancelled the call.
+// watchdog.ErrSilent if the watchdog cancelled the call.
 func newTransportError(ctx context.Context, entry string, err error) *TransportError {
-	if errors.Is(context.Cause(ctx), silence.ErrSilent) {
-		err = silence.ErrSilent
+	if errors.Is(context.Cause(ctx), watchdog.ErrSilent) {
+		err = watchdog.ErrSilent
 	}
 	return &TransportError{Entry: entry, Cause: err}
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"github.com/camphorrack/camphorrack/internal/fault"
-	"github.com/camphorrack/camphorrack/internal/silence"
+	"github.com/camphorrack/camphorrack/internal/watchdog"
 )
 
 // Defaults of Options.
@@ -80,7 +80,7 @@
 	setDefault(&o.HedgeDelay, DefaultHedgeDelay)
 	setDefault(&o.RetryTimeout, DefaultRetryTimeout)
 	transport := &http.Transport{
-		DialContext: silence.Dialer(dialTimeout), MaxIdleConnsPerHost: maxIdlePerEntry, IdleConnTimeout: idleConnTimeout,
+		DialContext: watchdog.Dialer(dialTimeout), MaxIdleConnsPerHost: maxIdlePerEntry, IdleConnTimeout: idleConnTimeout,
 	}
 	return &Client{options: o, http: &http.Client{Transport: transport}}, nil
 }
--- a/internal/client/hedge.go
+++ b/internal/client/hedge.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/camphorrack/camphorrack/internal/silence"
+	"github.com/camphorrack/camphorrack/internal/watchdog"
 )
 
 // outcome is the result of a call to one entry.
@@ -28,7 +28,7 @@
 	}
 	go send(first)
 	silent := make(chan struct{}, 1)
-	watch := silence.NewWatchdog(k.wait+c.options.HedgeDelay, func(error) { silent <- struct{}{} })
+	watch := watchdog.NewWatchdog(k.wait+c.options.HedgeDelay, func(error) { silent <- struct{}{} })
 	defer watch.Stop()
 	for pending := 1; ; {
 		select {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -27,10 +27,10 @@
 	"github.com/go-logr/logr"
 
 	"github.com/camphorrack/camphorrack/internal/scheduler/calibration"
-	"github.com/camphorrack/camphorrack/internal/scheduler/comeback"
 	"github.com/camphorrack/camphorrack/internal/scheduler/crashloop"
 	"github.com/camphorrack/camphorrack/internal/scheduler/earliest"
 	"github.com/camphorrack/camphorrack/internal/scheduler/headroom"
+	"github.com/camphorrack/camphorrack/internal/scheduler/retryafter"
 	"github.com/camphorrack/camphorrack/internal/scheduler/uplink"
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
@@ -83,7 +83,7 @@
 	calibrations  map[string]*calibration.Regression // corrections of estimates, by queue
 	margins       map[string]*headroom.Margin        // admission margins, by queue
 	link          *uplink.Link
-	retrySchedule comeback.Schedule // when refused callers should retry
+	retrySchedule retryafter.Schedule // when refused callers should retry
 	// evacuated are the data centres in which no task may start.
 	evacuated map[string]struct{}
 	crashes   *crashloop.Detector
--- a/internal/entry/catchup.go
+++ b/internal/entry/catchup.go
@@ -11,7 +11,7 @@
 
 	"github.com/camphorrack/camphorrack/internal/clock"
 	"github.com/camphorrack/camphorrack/internal/fault"
-	"github.com/camphorrack/camphorrack/internal/silence"
+	"github.com/camphorrack/camphorrack/internal/watchdog"
 )
 
 const (
@@ -41,8 +41,8 @@
 	defer close(e.api.caughtUp)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	watchdog := silence.NewWatchdog(catchUpTimeout, cancel)
-	defer watchdog.Stop()
+	watch := watchdog.NewWatchdog(catchUpTimeout, cancel)
+	defer watch.Stop()
 	unanswered = e.o.entries()
 	answered := make(chan string, len(unanswered))
 	for _, addr := range unanswered {
--- a/internal/forward/peer.go
+++ b/internal/forward/peer.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/camphorrack/camphorrack/internal/clock"
-	"github.com/camphorrack/camphorrack/internal/silence"
+	"github.com/camphorrack/camphorrack/internal/watchdog"
 )
 
 const (
@@ -100,12 +100,12 @@
 func (p *peer) closeIdle() { p.client.CloseIdleConnections() }
 
 // call sends one request and reads the reply. It closes the connection and fails with
-// silence.ErrSilent if no byte is transferred for silenceTimeout; the transfer of a large body
+// watchdog.ErrSilent if no byte is transferred for silenceTimeout; the transfer of a large body
 // over a slow network may take longer in total.
 func (p *peer) call(ctx context.Context, r Request, wait, silenceTimeout time.Duration) (*Reply, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := silence.NewWatchdog(silenceTimeout, cancel)
+	watch := watchdog.NewWatchdog(silenceTimeout, cancel)
 	defer watch.Stop()
 	request, err := p.request(ctx, r, wait, watch)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return &Reply{Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After"), Body: body}, nil
 }
 
-func (p *peer) request(ctx context.Context, r Request, wait time.Duration, watch *silence.Watchdog) (*http.Request, error) {
+func (p *peer) request(ctx context.Context, r Request, wait time.Duration, watch *watchdog.Watchdog) (*http.Request, error) {
 	requestURL := url.URL{Scheme: "http", Host: p.addr.String(), Path: r.Path}
 	if r.AcceptsWait {
 		requestURL.RawQuery = waitQuery(wait)
@@ -169,10 +169,10 @@
 	return errAnotherIncarnation
 }
 
-// callError returns the error of a failed call, silence.ErrSilent if the watchdog cancelled it.
+// callError returns the error of a failed call, watchdog.ErrSilent if the watchdog cancelled it.
 func callError(ctx context.Context, err error) error {
-	if errors.Is(context.Cause(ctx), silence.ErrSilent) {
-		return silence.ErrSilent
+	if errors.Is(context.Cause(ctx), watchdog.ErrSilent) {
+		return watchdog.ErrSilent
 	}
 	return errors.Wrap(err, "call the owner")
 }
@@ -180,7 +180,7 @@
 // progressReader reports each read of data to the watchdog of a call.
 type progressReader struct {
 	io.Reader
-	watch *silence.Watchdog
+	watch *watchdog.Watchdog
 }
 
 // Read implements io.Reader.
--- a/internal/runs/load.go
+++ b/internal/runs/load.go
@@ -5,7 +5,7 @@
 
 	"github.com/camphorrack/camphorrack/internal/clock"
 	"github.com/camphorrack/camphorrack/internal/event"
-	"github.com/camphorrack/camphorrack/internal/scheduler/waiting"
+	"github.com/camphorrack/camphorrack/internal/scheduler/queuesim"
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
@@ -160,10 +160,10 @@
 		}
 		totalCPUMilli, count = totalCPUMilli+r.order.Demand.CPUMilli, count+1
 		remainingMs := r.order.EstimateMs/speed - clock.Millis(t.now.Sub(r.startCalledAt))
-		t.runningTasks = append(t.runningTasks, waiting.RunningTask{CPUMilli: r.order.Demand.CPUMilli, RemainingMs: remainingMs})
+		t.runningTasks = append(t.runningTasks, queuesim.RunningTask{CPUMilli: r.order.Demand.CPUMilli, RemainingMs: remainingMs})
 	}
 	for _, r := range t.queue {
-		t.queuedTasks = append(t.queuedTasks, waiting.QueuedTask{
+		t.queuedTasks = append(t.queuedTasks, queuesim.QueuedTask{
 			CPUMilli: r.order.Demand.CPUMilli, RunMs: r.order.EstimateMs / speed, SlackMs: clock.Millis(r.startBy.Sub(t.now)),
 		})
 	}
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -22,7 +22,7 @@
 	"github.com/go-logr/logr"
 
 	"github.com/camphorrack/camphorrack/internal/job"
-	"github.com/camphorrack/camphorrack/internal/scheduler/waiting"
+	"github.com/camphorrack/camphorrack/internal/scheduler/queuesim"
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
@@ -265,9 +265,9 @@
 
 	loadChanged  bool // the load has changed since the last Flush
 	loadUrgent   bool // the change is to be reported at once
-	simulator    waiting.Simulator
-	runningTasks []waiting.RunningTask
-	queuedTasks  []waiting.QueuedTask
+	simulator    queuesim.Simulator
+	runningTasks []queuesim.RunningTask
+	queuedTasks  []queuesim.QueuedTask
 
 	counts Counts
 }
--- a/internal/scheduler/waiting/waiting.go
+++ b/internal/scheduler/queuesim/queuesim.go
@@ -1,4 +1,4 @@
-// Package waiting predicts how long a new task would wait for free capacity on a target whose
+// Package queuesim predicts how long a new task would wait for free capacity on a target whose
 // capacity is an amount of CPU.
 //
 // Tasks of 50 ms and of several seconds share targets that are nearly full. The sum of queued
@@ -7,7 +7,7 @@
 // few milliseconds. A poor prediction shows as jobs that are admitted and then late, or rejected
 // although there was capacity. The queue is therefore simulated: running tasks release their
 // capacity at their expected ends, and queued tasks take it in the order of the queue.
-package waiting
+package queuesim
 
 import (
 	"slices"
--- a/internal/scheduler/waiting/waiting_test.go
+++ b/internal/scheduler/queuesim/queuesim_test.go
@@ -1,4 +1,4 @@
-package waiting
+package queuesim
 
 import (
 	"testing"
--- a/internal/scheduler/comeback/comeback.go
+++ b/internal/scheduler/retryafter/retryafter.go
@@ -1,4 +1,4 @@
-// Package comeback schedules the retries of refused callers: it determines the Retry-After of
+// Package retryafter schedules the retries of refused callers: it determines the Retry-After of
 // each refusal.
 //
 // In a burst beyond the capacity of the targets, callers that are all given the same short
@@ -10,7 +10,7 @@
 // limited to a share of the recent admission rate, which leaves the rest to first attempts. Less
 // urgent callers can only use part of that share, so that more urgent ones get an earlier second.
 // No caller is asked to retry before the queue that refused it is expected to have capacity.
-package comeback
+package retryafter
 
 import "time"
 
--- a/internal/scheduler/comeback/comeback_test.go
+++ b/internal/scheduler/retryafter/retryafter_test.go
@@ -1,4 +1,4 @@
-package comeback
+package retryafter
 
 import (
 	"math/rand/v2"
--- a/internal/silence/silence.go
+++ b/internal/watchdog/watchdog.go
@@ -1,7 +1,7 @@
-// Package silence detects peers that don't respond, and does not mistake a pause of the
+// Package watchdog detects peers that don't respond, and does not mistake a pause of the
 // calling process for one of the peer. After the process was frozen or starved of processor
 // time, all its timers have expired, although the reply may be waiting unread in a socket.
-package silence
+package watchdog
 
 import (
 	"context"
--- a/internal/silence/silence_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -1,4 +1,4 @@
-package silence
+package watchdog
 
 import (
 	"context"
