--- a/apps/camphorrack-soak/main.go
+++ b/apps/camphorrack-soak/main.go
@@ -20,7 +20,7 @@
 func main() {
 	set := settings.New(program, os.Stdout)
 	o := soak.Options{Out: io.Discard}
-	set.StringVar(&o.Bin, "bin", "bin", "directory of camphorrack-dispatcher and camphorrack-runner")
+	set.StringVar(&o.BinDir, "bin", "bin", "directory of camphorrack-dispatcher and camphorrack-runner")
 	logs := set.String("logs", "", "directory for the logs of seeds that fail (default: a temporary one)")
 	first := set.Uint64("seed", uint64(time.Now().Unix()), "first seed (default: a fresh one)")
 	count := set.Uint64("seeds", 1, "how many seeds to play, one after the other")
--- a/command/config_test.go
+++ b/command/config_test.go
@@ -18,7 +18,7 @@
 	var log string
 
 	BeforeEach(func() {
-		server := httptest.NewServer(standin.NewStore(standin.StoreOptions{Retention: time.Hour}).Controlled())
+		server := httptest.NewServer(standin.NewStore(standin.StoreOptions{Retention: time.Hour}).HandlerWithControl())
 		DeferCleanup(server.Close)
 		log = server.URL
 	})
@@ -92,17 +92,17 @@
 		Expect(code).To(Equal(ExitConflict))
 		Expect(message).To(ContainSubstring(`version 1 by "ops"`))
 
-		setMode(standin.StoreLate)
+		setMode(standin.StoreDelayedAppends)
 		code, _, message = runConfig("set", "quota.default=7")
 		Expect(code).To(Equal(ExitUndecided))
 		_, resolve, found := strings.Cut(strings.TrimSpace(message), "camphorctl config ")
 		Expect(found).To(BeTrue(), message)
 		code, _, _ = runConfig(strings.Fields(resolve)...)
 		Expect(code).To(Equal(ExitUndecided), "the log has not applied the record yet")
-		setMode(standin.StoreBusy)
+		setMode(standin.StoreUnavailable)
 		code, _, _ = runConfig("set", "quota.default=8")
 		Expect(code).To(Equal(ExitNotAccepted))
-		setMode(standin.StoreServes)
+		setMode(standin.StoreNormal)
 		code, out, _ := runConfig(strings.Fields(resolve)...)
 		Expect(code).To(Equal(ExitDone))
 		Expect(out).To(ContainSubstring("accepted: it made version 2"))
--- a/internal/config/processes_test.go
+++ b/internal/config/processes_test.go
@@ -199,16 +199,16 @@
 		// A record that no living process has read is lost with the log. Here the
 		// entry that lives on has read all of them.
 		Eventually(func() bool {
-			control(logURL, standin.StoreBusy)
-			if stateAt(second).AsOf == boundsOf(logURL).End {
+			control(logURL, standin.StoreUnavailable)
+			if stateAt(second).AsOf == boundsOf(logURL).EndOffset {
 				return true
 			}
-			control(logURL, standin.StoreServes)
+			control(logURL, standin.StoreNormal)
 			return false
 		}).WithPolling(time.Second).WithTimeout(patience).Should(BeTrue())
 		_, err = ops.Publish(ctx, setQuota(before.Version, "a", 8))
 		Expect(codeOf(err)).To(Equal(fault.ConfigNotTaken))
-		Eventually(func() bool { b := boundsOf(logURL); return b.Lowest == b.End }).WithTimeout(patience).Should(BeTrue())
+		Eventually(func() bool { b := boundsOf(logURL); return b.FirstOffset == b.EndOffset }).WithTimeout(patience).Should(BeTrue())
 		first.Kill()
 		first, err = f.StartEntry(ctx, "entry-1 again", first.Addr, nil, follow...)
 		Expect(err).NotTo(HaveOccurred())
@@ -217,7 +217,7 @@
 		Expect(submit(ctx, first.Addr)).To(Equal(job.Complete), "work goes on")
 		Expect(submit(ctx, second.Addr)).To(Equal(job.Complete), "work goes on")
 
-		control(logURL, standin.StoreServes)
+		control(logURL, standin.StoreNormal)
 		var after *config.State
 		Eventually(func() error {
 			after, err = ops.Publish(ctx, setQuota(before.Version, "a", 9))
@@ -263,7 +263,7 @@
 	// placed there again: callers would see the limit come and go.
 	It("start with the newest configuration that another entry has", func(ctx context.Context) {
 		f, logURL, first, second, published := twoEntriesWithAChange(ctx)
-		control(logURL, standin.StoreBusy)
+		control(logURL, standin.StoreUnavailable)
 		second.Kill()
 		second, err := f.StartEntry(ctx, "entry-2 again", second.Addr, []string{first.Addr}, "-log", logURL)
 		Expect(err).NotTo(HaveOccurred())
@@ -274,7 +274,7 @@
 	// predecessor did, because those that it asked stood still for a moment.
 	It("start with the newest configuration that another entry has, which stands still", func(ctx context.Context) {
 		f, logURL, first, second, published := twoEntriesWithAChange(ctx)
-		control(logURL, standin.StoreBusy)
+		control(logURL, standin.StoreUnavailable)
 		second.Kill()
 		first.Pause()
 		time.AfterFunc(2*time.Second, first.Resume)
--- a/internal/demo/chaos.go
+++ b/internal/demo/chaos.go
@@ -58,11 +58,11 @@
 
 // logInjections befall the platform's log.
 var logInjections = []injection{
-	{"log down", misbehave(standin.StoreControl{Mode: standin.StoreBusy})},
+	{"log down", misbehave(standin.StoreControl{Mode: standin.StoreUnavailable})},
 	{"log slow", misbehave(standin.StoreControl{DelayMs: 500})},
-	{"log loses answers", misbehave(standin.StoreControl{Mode: standin.StoreLostAppends})},
-	{"log unreadable", misbehave(standin.StoreControl{Mode: standin.StoreUnreadable})},
-	{"log late", misbehave(standin.StoreControl{Mode: standin.StoreLate})},
+	{"log loses answers", misbehave(standin.StoreControl{Mode: standin.StoreAppendAnswerLost})},
+	{"log unreadable", misbehave(standin.StoreControl{Mode: standin.StoreReadsUnavailable})},
+	{"log late", misbehave(standin.StoreControl{Mode: standin.StoreDelayedAppends})},
 }
 
 // chaos injects failures into a running fleet at random, some
@@ -207,7 +207,7 @@
 // misbehave makes the log misbehave for a while.
 func misbehave(m standin.StoreControl) func(*chaos, int) error {
 	return func(c *chaos, _ int) error {
-		return c.forAWhile(c.run.deployment.logURL()+"/control", m, standin.StoreControl{Mode: standin.StoreServes})
+		return c.forAWhile(c.run.deployment.logURL()+"/control", m, standin.StoreControl{Mode: standin.StoreNormal})
 	}
 }
 
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -37,7 +37,7 @@
 }
 
 // kindOf turns a number between 0 and 1 into the kind of a job's tasks.
-func kindOf(part float64) standin.Kind {
+func kindOf(part float64) standin.TaskKind {
 	switch {
 	case part < crashers:
 		return standin.Crasher
@@ -53,7 +53,7 @@
 	kind := kindOf(random.Float64())
 	hopeless := kind != standin.Work
 	body := standin.JobBody(kind, 1+random.IntN(6), 20+random.IntN(600))
-	r.count(func(t *Tally) { t.Sent++ })
+	r.count(func(t *JobCounts) { t.Sent++ })
 	refused := true
 	for range mostSends {
 		wait := callerWait
@@ -76,7 +76,7 @@
 		clock.Sleep(ctx, resendPause)
 	}
 	if refused {
-		r.fleet.Ledger.Refused(id)
+		r.fleet.Checker.CheckNotStarted(id)
 	}
 }
 
@@ -84,26 +84,26 @@
 func (r *run) answered(id string, reply standin.Reply, poison, leaving bool, took time.Duration) (again bool) {
 	switch {
 	case reply.Status == 200 && reply.Body == `{"state":"completed"}`:
-		r.count(func(t *Tally) { t.Complete++ })
+		r.count(func(t *JobCounts) { t.Complete++ })
 		if poison {
 			r.breach("answer", id, "complete, though it can't be done")
 		}
 		return false
 	case reply.Status == 200:
-		r.count(func(t *Tally) { t.Failed++ })
+		r.count(func(t *JobCounts) { t.Failed++ })
 		return false
 	case reply.Status == 429 || reply.Status == 503:
-		r.count(func(t *Tally) { t.NotRun++ })
+		r.count(func(t *JobCounts) { t.NotRun++ })
 		if reply.Header.Get("Retry-After") == "" {
 			r.breach("answer", id, fmt.Sprintf("%d without Retry-After", reply.Status))
 		}
 		return false
 	case reply.Status == 504:
-		r.count(func(t *Tally) { t.Unknown++ })
+		r.count(func(t *JobCounts) { t.Unknown++ })
 	case reply.Status == 0 && leaving:
-		r.count(func(t *Tally) { t.GaveUp++ })
+		r.count(func(t *JobCounts) { t.GaveUp++ })
 	case reply.Status == 0:
-		r.count(func(t *Tally) { t.Broken++ })
+		r.count(func(t *JobCounts) { t.Unanswered++ })
 	case reply.Status == 404:
 		return true // this entry has no configuration with the queue yet
 	default:
@@ -118,10 +118,10 @@
 // watchConfiguration sees that an entry never goes back to an older configuration while
 // its process lives.
 func (r *run) watchConfiguration(ctx context.Context, entry int) {
-	seen, process := 0, r.fleet.Entries[entry].Ended()
+	seen, process := 0, r.fleet.Entries[entry].Exited()
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, 50*time.Millisecond)
-		now := r.fleet.Entries[entry].Ended()
+		now := r.fleet.Entries[entry].Exited()
 		if now != process {
 			seen, process = 0, now
 		}
@@ -130,7 +130,7 @@
 		r.mu.Unlock()
 		for version := newest; version > max(0, newest-3); version-- {
 			status := r.inForce(ctx, entry, version)
-			if r.fleet.Entries[entry].Ended() != process || status == 0 {
+			if r.fleet.Entries[entry].Exited() != process || status == 0 {
 				break // it may have been another process
 			}
 			if status != 200 {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -39,7 +39,7 @@
 	{"settings read again", onProcess(runners, (*run).reload)},
 	{"path to an entry", onPath(func(r *run, x *rand.Rand) *relay.Relay { return pick(x, r.fleet.CallerPaths) })},
 	{"path to a target", onPath(func(r *run, x *rand.Rand) *relay.Relay { return pick(x, r.fleet.TargetPaths) })},
-	{"path between processes", onPath(func(r *run, x *rand.Rand) *relay.Relay { return pick(x, pick(x, r.fleet.InnerPaths)) })},
+	{"path between processes", onPath(func(r *run, x *rand.Rand) *relay.Relay { return pick(x, pick(x, r.fleet.SessionPaths)) })},
 	{"runner cut off", runnerCutOff},
 	{"entry cut off", entryCutOff},
 	{"target crashes", targetCrashes},
@@ -81,10 +81,10 @@
 
 // heal undoes what faults that were cut short may have left behind.
 func (r *run) heal() {
-	r.fleet.Store.SetMode("", standin.StoreServes)
-	r.fleet.Store.SetSlow(0)
+	r.fleet.Store.SetMode("", standin.StoreNormal)
+	r.fleet.Store.SetDelay(0)
 	for _, t := range r.fleet.Targets {
-		t.SetCapacity(standin.UsualMilli)
+		t.SetCapacity(standin.DefaultCPUMilli)
 	}
 	for n := range dataCentres {
 		r.fleet.Restore(r.fleet.DataCentre(n))
@@ -150,7 +150,7 @@
 // exited notes a process that has ended by itself.
 func (r *run) exited(p *slot) {
 	select {
-	case <-p.Ended():
+	case <-p.Exited():
 		r.breach("process", p.Name, "it ended by itself")
 	default:
 	}
@@ -166,8 +166,8 @@
 	p.Signal(syscall.SIGTERM)
 	return func() {
 		select {
-		case <-p.Ended():
-			if code := p.Exit(); code != 0 {
+		case <-p.Exited():
+			if code := p.Wait(); code != 0 {
 				r.breach("process", p.Name, fmt.Sprintf("SIGTERM ends it with %d", code))
 			}
 		case <-time.After(graceful):
@@ -219,25 +219,25 @@
 
 func runnerCutOff(r *run, x *rand.Rand, _ time.Duration) func() {
 	i := x.IntN(len(r.fleet.Runners))
-	r.fleet.Store.SetMode(r.fleet.Runners[i].IP(), standin.StoreSilent)
-	light := darken(r.fleet.InnerPaths[i])
+	r.fleet.Store.SetMode(r.fleet.Runners[i].IP(), standin.StoreUnresponsive)
+	light := darken(r.fleet.SessionPaths[i])
 	return func() {
 		light()
-		r.fleet.Store.SetMode(r.fleet.Runners[i].IP(), standin.StoreServes)
+		r.fleet.Store.SetMode(r.fleet.Runners[i].IP(), standin.StoreNormal)
 	}
 }
 
 func entryCutOff(r *run, x *rand.Rand, _ time.Duration) func() {
 	e := x.IntN(r.Entries)
 	paths := []*relay.Relay{r.fleet.CallerPaths[e]}
-	for _, inner := range r.fleet.InnerPaths {
+	for _, inner := range r.fleet.SessionPaths {
 		paths = append(paths, inner[e])
 	}
-	r.fleet.Store.SetMode(r.fleet.Entries[e].IP(), standin.StoreSilent)
+	r.fleet.Store.SetMode(r.fleet.Entries[e].IP(), standin.StoreUnresponsive)
 	light := darken(paths)
 	return func() {
 		light()
-		r.fleet.Store.SetMode(r.fleet.Entries[e].IP(), standin.StoreServes)
+		r.fleet.Store.SetMode(r.fleet.Entries[e].IP(), standin.StoreNormal)
 	}
 }
 
@@ -245,7 +245,7 @@
 func (r *run) up(t *standin.Target) {
 	var err error
 	for range 50 {
-		if err = t.Up(); err == nil {
+		if err = t.Start(); err == nil {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -264,7 +264,7 @@
 	if !mu.(*sync.Mutex).TryLock() {
 		return nil
 	}
-	t.Down()
+	t.Stop()
 	return func() {
 		defer mu.(*sync.Mutex).Unlock()
 		r.up(t)
@@ -286,8 +286,8 @@
 
 func targetMisbehaves(r *run, x *rand.Rand, _ time.Duration) func() {
 	t := pick(x, r.fleet.Targets)
-	t.Misbehave(x.Float64()*0.3, x.Float64()*0.3, x.IntN(4) == 0)
-	return func() { t.Misbehave(0, 0, false) }
+	t.SetFaults(x.Float64()*0.3, x.Float64()*0.3, x.IntN(4) == 0)
+	return func() { t.SetFaults(0, 0, false) }
 }
 
 func targetLeaves(r *run, x *rand.Rand, _ time.Duration) func() {
@@ -303,31 +303,31 @@
 
 func targetSlow(r *run, x *rand.Rand, _ time.Duration) func() {
 	t := pick(x, r.fleet.Targets)
-	t.SetSlowness(1 + x.Float64()*20)
-	return func() { t.SetSlowness(1) }
+	t.SetSlowdown(1 + x.Float64()*20)
+	return func() { t.SetSlowdown(1) }
 }
 
-var storeModes = []standin.StoreMode{standin.StoreSilent, standin.StoreBusy, standin.StoreReset, standin.StoreLost}
+var storeModes = []standin.StoreMode{standin.StoreUnresponsive, standin.StoreUnavailable, standin.StoreReset, standin.StoreAnswerLost}
 
 func storeMisbehaves(r *run, x *rand.Rand, _ time.Duration) func() {
 	if x.IntN(3) == 0 {
-		r.fleet.Store.SetSlow(time.Duration(x.IntN(700)) * time.Millisecond)
-		return func() { r.fleet.Store.SetSlow(0) }
+		r.fleet.Store.SetDelay(time.Duration(x.IntN(700)) * time.Millisecond)
+		return func() { r.fleet.Store.SetDelay(0) }
 	}
 	r.fleet.Store.SetMode("", pick(x, storeModes))
-	return func() { r.fleet.Store.SetMode("", standin.StoreServes) }
+	return func() { r.fleet.Store.SetMode("", standin.StoreNormal) }
 }
 
 func storeForOne(r *run, x *rand.Rand, _ time.Duration) func() {
 	host := pick(x, append(append([]*standin.Process(nil), r.fleet.Entries...), r.fleet.Runners...)).IP()
 	r.fleet.Store.SetMode(host, pick(x, storeModes))
-	return func() { r.fleet.Store.SetMode(host, standin.StoreServes) }
+	return func() { r.fleet.Store.SetMode(host, standin.StoreNormal) }
 }
 
 func storeForgets(r *run, x *rand.Rand, _ time.Duration) func() {
-	r.fleet.ForgetConfigurations()
+	r.fleet.TruncateConfigurations()
 	if x.IntN(2) == 0 {
-		r.fleet.ForgetRecords()
+		r.fleet.TruncateEntryRecords()
 	}
 	return nil
 }
@@ -341,10 +341,10 @@
 func dataCentreEvacuated(r *run, x *rand.Rand, lasting time.Duration) func() {
 	name := r.fleet.TargetDataCentre(x.IntN(len(r.fleet.Targets)))
 	r.fleet.Evacuate(name)
-	r.fleet.Ledger.Close(name, time.Now().Add(evacuationBound))
+	r.fleet.Checker.ForbidStarts(name, time.Now().Add(evacuationBound))
 	time.Sleep(lasting) // and again as long
 	return func() {
-		r.fleet.Ledger.Close(name, time.Time{})
+		r.fleet.Checker.ForbidStarts(name, time.Time{})
 		r.fleet.Restore(name)
 	}
 }
@@ -353,7 +353,7 @@
 func capacityChanges(r *run, x *rand.Rand, _ time.Duration) func() {
 	t := pick(x, r.fleet.Targets)
 	t.SetCapacity(1000 * (1 + x.IntN(8)))
-	return func() { t.SetCapacity(standin.UsualMilli) }
+	return func() { t.SetCapacity(standin.DefaultCPUMilli) }
 }
 
 func (r *run) configure() {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -22,7 +22,7 @@
 
 // Options of one run.
 type Options struct {
-	Bin      string // directory of the programs
+	BinDir   string // directory of the programs
 	Dir      string // for settings and logs
 	Seed     uint64
 	Duration time.Duration // with faults
@@ -57,19 +57,19 @@
 type Result struct {
 	Seed     uint64
 	Faults   int
-	Jobs     Tally
+	Jobs     JobCounts
 	Breaches []standin.Breach
 }
 
-// Tally counts how jobs ended.
-type Tally struct {
-	Sent, Complete, Failed, NotRun, Unknown, Broken, GaveUp int
+// JobCounts counts how jobs ended.
+type JobCounts struct {
+	Sent, Complete, Failed, NotRun, Unknown, Unanswered, GaveUp int
 }
 
 // String returns the result as a line.
 func (r Result) String() string {
 	return fmt.Sprintf("seed=%d faults=%d jobs=%d complete=%d failed=%d not_run=%d unknown=%d broken=%d gave_up=%d breaches=%d",
-		r.Seed, r.Faults, r.Jobs.Sent, r.Jobs.Complete, r.Jobs.Failed, r.Jobs.NotRun, r.Jobs.Unknown, r.Jobs.Broken, r.Jobs.GaveUp, len(r.Breaches))
+		r.Seed, r.Faults, r.Jobs.Sent, r.Jobs.Complete, r.Jobs.Failed, r.Jobs.NotRun, r.Jobs.Unknown, r.Jobs.Unanswered, r.Jobs.GaveUp, len(r.Breaches))
 }
 
 // run is one run.
@@ -79,7 +79,7 @@
 	own   *ownStalls
 
 	mu      sync.Mutex
-	tally   Tally
+	tally   JobCounts
 	faults  int
 	broken  []standin.Breach
 	version int // newest configuration that was written
@@ -88,8 +88,8 @@
 // Run plays one seed. An error means that the run could not be made.
 func Run(ctx context.Context, o Options) (Result, error) {
 	fleet, err := standin.NewFleet(standin.FleetOptions{
-		Bin: o.Bin, Dir: o.Dir, Entries: o.Entries, Targets: o.Targets, Relays: true, Seed: o.Seed,
-		DataCentres: dataCentres, CrashFor: crashFor,
+		BinDir: o.BinDir, Dir: o.Dir, Entries: o.Entries, Targets: o.Targets, Relays: true, Seed: o.Seed,
+		DataCentres: dataCentres, CrashDowntime: crashFor,
 	})
 	if err != nil {
 		return Result{}, err
@@ -110,14 +110,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Result{Seed: o.Seed, Faults: r.faults, Jobs: r.tally, Breaches: append(r.broken, fleet.Ledger.Breaches()...)}, nil
+	return Result{Seed: o.Seed, Faults: r.faults, Jobs: r.tally, Breaches: append(r.broken, fleet.Checker.Breaches()...)}, nil
 }
 
 // settle waits until every entry is ready.
 func (r *run) settle(ctx context.Context) error {
 	until := time.Now().Add(settleWait)
 	for i := range r.Entries {
-		for r.fleet.Ready(i) != 200 {
+		for r.fleet.ReadyStatus(i) != 200 {
 			if time.Now().After(until) || ctx.Err() != nil {
 				return errors.Newf("entry %d is not ready", i)
 			}
@@ -185,16 +185,16 @@
 
 // inForce asks an entry, without a relay, for the queue that only one version has.
 func (r *run) inForce(ctx context.Context, entry, version int) int {
-	return r.fleet.Call(ctx, "GET", r.fleet.Direct(entry, fmt.Sprintf("/v%d/", version)), "", time.Second).Status
+	return r.fleet.Call(ctx, "GET", r.fleet.DirectURL(entry, fmt.Sprintf("/v%d/", version)), "", time.Second).Status
 }
 
 func (r *run) breach(what, task, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, standin.Breach{What: what, Task: task, Detail: detail})
+	r.broken = append(r.broken, standin.Breach{Invariant: what, Subject: task, Detail: detail})
 }
 
-func (r *run) count(change func(*Tally)) {
+func (r *run) count(change func(*JobCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.tally)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,7 +30,7 @@
 	out, err := exec.Command("go", "build", "-o", bin+"/", "../../apps/camphorrack-dispatcher", "../../apps/camphorrack-runner").CombinedOutput()
 	NewWithT(t).Expect(err).NotTo(HaveOccurred(), string(out))
 	for _, seed := range seeds {
-		result, err := Run(context.Background(), Options{Bin: bin, Dir: t.TempDir(), Seed: seed, Duration: seedDuration,
+		result, err := Run(context.Background(), Options{BinDir: bin, Dir: t.TempDir(), Seed: seed, Duration: seedDuration,
 			Entries: DefaultEntries, Targets: DefaultTargets, Callers: DefaultCallers, Out: t.Output()})
 		g := NewWithT(t)
 		g.Expect(err).NotTo(HaveOccurred())
