--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -1,7 +1,7 @@
-// Package follower keeps an entry's configuration up with the platform's log: it
-// polls the log, puts what it reads in force, and writes a snapshot now and then,
-// before retention drops what a new reader needs. Only entries, which are few,
-// read the log; agents hear of changes on their sessions.
+// Package follower keeps an entry's configuration up to date with the platform's log. It
+// polls the log, applies the records to the entry's replica, and writes snapshots often
+// enough that the log's retention never drops what a new reader needs. Only entries,
+// which are few, read the log; agents receive changes on their sessions.
 package follower
 
 import (
@@ -18,24 +18,24 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// Timing. A change is in force at an entry within about 1.25 * PollEvery and at
-// its agents within config.FanOutSpread and two heartbeats more: below 6 s of the
-// letter's 13 s, which leaves a whole poll to be lost.
+// Timing. A change is in force on an entry within about 1.25 * PollInterval, and on its
+// agents config.MaxFanOutDelay and two heartbeats later. This is below 6 s of the 13 s
+// that a change may take, so that a poll may be lost.
 const (
 	DefaultPollInterval = 1500 * time.Millisecond
-	// MaxBackoff bounds the pause between polls in an outage. Entries come back to
-	// a log that just recovered within it, each at a time of its own.
+	// MaxBackoff is the longest interval between polls while the log is unavailable.
+	// When the log recovers, entries poll it again within this time, at random times.
 	MaxBackoff = 5 * time.Second
-	// DefaultSnapshotInterval must be at most half of the log's retention.
+	// DefaultSnapshotInterval must not exceed half of the log's retention.
 	DefaultSnapshotInterval = 6 * time.Hour
-	// DefaultStaleAfter is when a process says that it may be out of date.
+	// DefaultStaleAfter is the age of the configuration at which it is logged as stale.
 	DefaultStaleAfter = 30 * time.Second
-	// recoveryJitter spreads the snapshots after a long outage, so that most
-	// entries see one of another's and leave theirs out.
+	// recoveryJitter is the maximum of the random delay of a snapshot after a long
+	// outage. With it, most entries see another entry's snapshot and write none.
 	recoveryJitter = 10 * time.Second
 )
 
-// Options of a follower; zero durations take the defaults.
+// Options of a follower. A duration of 0 means the default.
 type Options struct {
 	Log              platformlog.Log
 	Replica          *config.Replica
@@ -47,35 +47,36 @@
 	StaleAfter       time.Duration
 }
 
-// Follower reads the log for one process. Its methods belong to one goroutine.
+// Follower applies the log to the replica of one process. Its methods are not safe for
+// concurrent use, except Wake and PollResults.
 type Follower struct {
-	o          Options
-	wake       chan struct{}
-	polled     chan bool
-	fold       *config.Fold
-	backoff    *backoff.ExponentialBackOff
-	downSince  time.Time // zero while the log answers
-	snapshotAt time.Time
-	snapshots  uint64
-	caughtUp   bool // has been at the end of the log
-	missed     bool // found records dropped, and no snapshot since
+	options          Options
+	wake             chan struct{}
+	pollResults      chan bool
+	fold             *config.Fold
+	backoff          *backoff.ExponentialBackOff
+	unreachableSince time.Time // zero while the log is available
+	nextSnapshotAt   time.Time
+	snapshotCount    uint64
+	caughtUp         bool // the end of the log has been reached once
+	truncated        bool // the log dropped unread records, and no snapshot was read since
 }
 
-// New returns a follower that goes on from what the holder has.
+// New returns a follower that continues from the replica's current state.
 func New(o Options) *Follower {
 	setDefault(&o.PollInterval, DefaultPollInterval)
 	setDefault(&o.SnapshotInterval, DefaultSnapshotInterval)
 	setDefault(&o.StaleAfter, DefaultStaleAfter)
-	f := &Follower{o: o, wake: make(chan struct{}, 1), polled: make(chan bool, 1), fold: config.NewFold(o.Replica.Get().State)}
+	f := &Follower{options: o, wake: make(chan struct{}, 1), pollResults: make(chan bool, 1), fold: config.NewFold(o.Replica.Get().State)}
 	f.backoff = backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(o.PollInterval),
 		backoff.WithMaxInterval(MaxBackoff),
 		backoff.WithMaxElapsedTime(0),
 	)
-	// How old the newest snapshot is can't be told from another host's clock. A
-	// start counts as half-way, at random, so some entry of a fleet that is
-	// restarted often still gets to write one.
-	f.snapshotAt = o.Clock.Now().Add(f.jitter(o.SnapshotInterval / 2))
+	// The age of the newest snapshot is unknown, as it was written by another host's
+	// clock. The first snapshot is due within half an interval, at random, so that some
+	// entry writes one even if the whole fleet is restarted often.
+	f.nextSnapshotAt = o.Clock.Now().Add(f.jitter(o.SnapshotInterval / 2))
 	return f
 }
 
@@ -85,10 +86,14 @@
 	}
 }
 
-func (f *Follower) soon() time.Duration { return f.jitter(min(recoveryJitter, f.o.SnapshotInterval/4)) }
+// earlySnapshotDelay returns the random delay of a snapshot that is written early.
+func (f *Follower) earlySnapshotDelay() time.Duration {
+	return f.jitter(min(recoveryJitter, f.options.SnapshotInterval/4))
+}
 
+// jitter returns a random duration below d.
 func (f *Follower) jitter(d time.Duration) time.Duration {
-	return time.Duration(f.o.Rand.Int64N(int64(d)))
+	return time.Duration(f.options.Rand.Int64N(int64(d)))
 }
 
 // Run polls until the context ends.
@@ -107,154 +112,162 @@
 	}
 }
 
-// Wake asks for a poll now. It is safe for concurrent use and does not block.
+// Wake requests an immediate poll. It is safe for concurrent use and does not block.
 func (f *Follower) Wake() {
 	select {
 	case f.wake <- struct{}{}:
-	default: // one is asked for already
+	default: // a poll is already requested
 	}
 }
 
-// Poll does one bounded read, and the snapshot if one is due. It returns how long
-// to wait before the next.
+// Poll does one read of limited size, and writes a snapshot if one is due. It returns the
+// delay before the next poll.
 func (f *Follower) Poll(ctx context.Context) time.Duration {
-	f.fold.AdvanceTo(f.o.Replica.Get().State) // a peer may have been faster, or this process is new
-	more, err := f.read(ctx)
-	f.o.Replica.LogIfStale(f.o.StaleAfter)
+	f.fold.AdvanceTo(f.options.Replica.Get().State) // a peer may have sent a newer state
+	more, err := f.readLog(ctx)
+	f.options.Replica.LogIfStale(f.options.StaleAfter)
 	if err != nil {
-		f.tellPolled(false)
-		return f.failed(err)
+		f.sendPollResult(false)
+		return f.handleReadError(err)
 	}
-	f.recovered()
+	f.handleRecovery()
 	if more {
 		return 0
 	}
-	f.tellPolled(f.fold.Contiguous())
+	f.sendPollResult(f.fold.Contiguous())
 	if f.fold.Contiguous() {
-		f.o.Replica.MarkCurrent()
-		f.snapshot(ctx)
+		f.options.Replica.MarkCurrent()
+		f.writeSnapshot(ctx)
 	}
-	return f.o.PollInterval*3/4 + f.jitter(f.o.PollInterval/2)
+	return f.options.PollInterval*3/4 + f.jitter(f.options.PollInterval/2)
 }
 
-// PollResults brings how polls ended: whether the log was read to its end and says what is in
-// force. Only the first that nobody has taken is kept.
-func (f *Follower) PollResults() <-chan bool { return f.polled }
+// PollResults returns a channel of the results of polls: whether the log was read to its
+// end and determines the state in force. While a result is unread, later ones are dropped.
+func (f *Follower) PollResults() <-chan bool { return f.pollResults }
 
-func (f *Follower) tellPolled(current bool) {
+// sendPollResult makes a result available on PollResults, unless one is unread.
+func (f *Follower) sendPollResult(current bool) {
 	select {
-	case f.polled <- current:
-	default: // an earlier one was not taken yet
+	case f.pollResults <- current:
+	default: // an earlier result is still unread
 	}
 }
 
-// Contiguous reports whether the follower has seen every record up to its position.
+// Contiguous reports whether the follower has read every record up to its position.
 func (f *Follower) Contiguous() bool { return f.fold.Contiguous() }
 
-func (f *Follower) read(ctx context.Context) (more bool, err error) {
-	b, err := config.Read(ctx, f.o.Log, f.fold)
+// readLog does one read of the log and applies it to the fold and the replica. It reports
+// whether the end of the log may not have been reached.
+func (f *Follower) readLog(ctx context.Context) (more bool, err error) {
+	b, err := config.Read(ctx, f.options.Log, f.fold)
 	if b.Truncated {
-		f.missed = true
+		f.truncated = true
 	}
 	if f.fold.Contiguous() {
-		f.o.Replica.ApplyRead(f.fold.State(), b)
+		f.options.Replica.ApplyRead(f.fold.State(), b)
 	}
 	for i := range b.Results {
-		f.sayVoid(&b.Results[i])
+		f.logVoidChange(&b.Results[i])
 	}
 	return b.More, err
 }
 
-// sayVoid logs a change that lost, while it is news.
-func (f *Follower) sayVoid(v *config.Result) {
+// logVoidChange logs a change whose base version was not current. Changes that are read
+// before the end of the log is reached for the first time may be old and are not logged.
+func (f *Follower) logVoidChange(v *config.Result) {
 	if f.caughtUp && v.Outcome == config.VoidStaleBase {
-		event.Log(f.o.Logger, event.ConfigConflict, "change", v.ID(), "offset", v.Offset, "version", v.State.Version)
+		event.Log(f.options.Logger, event.ConfigConflict, "change", v.ID(), "offset", v.Offset, "version", v.State.Version)
 	}
 }
 
-func (f *Follower) failed(err error) time.Duration {
-	if f.downSince.IsZero() {
-		f.downSince = f.o.Clock.Now()
-		event.Log(f.o.Logger, event.LogUnreachable, "cause", err.Error(), "version", f.o.Replica.Get().State.Version)
+// handleReadError logs the start of an outage of the log and returns the delay before the
+// next poll.
+func (f *Follower) handleReadError(err error) time.Duration {
+	if f.unreachableSince.IsZero() {
+		f.unreachableSince = f.options.Clock.Now()
+		event.Log(f.options.Logger, event.LogUnreachable, "cause", err.Error(), "version", f.options.Replica.Get().State.Version)
 	}
 	return f.backoff.NextBackOff()
 }
 
-// recovered brings the next snapshot forward after an outage that may have
-// outlived every snapshot on the log: until one is there again, neither a new
-// process nor an operator's tool can tell what is in force.
-func (f *Follower) recovered() {
-	if f.downSince.IsZero() {
+// handleRecovery ends an outage of the log. After a long one, retention may have dropped
+// every snapshot, and without one neither a new process nor the operators' tool can
+// determine the state in force. So the next snapshot is written early.
+func (f *Follower) handleRecovery() {
+	if f.unreachableSince.IsZero() {
 		return
 	}
 	f.backoff.Reset()
-	now := f.o.Clock.Now()
-	outage := now.Sub(f.downSince)
-	f.downSince = time.Time{}
-	if outage >= f.o.SnapshotInterval/2 {
-		f.snapshotSoon(now)
+	now := f.options.Clock.Now()
+	outage := now.Sub(f.unreachableSince)
+	f.unreachableSince = time.Time{}
+	if outage >= f.options.SnapshotInterval/2 {
+		f.advanceSnapshotTime(now)
 	}
 }
 
-// snapshot appends the state where one is due. Another's that was seen meanwhile
-// puts it off. Any number of them is harmless, and so is a lost answer.
-func (f *Follower) snapshot(ctx context.Context) {
-	now := f.o.Clock.Now()
-	f.noteSnapshots(now)
-	if now.Before(f.snapshotAt) {
+// writeSnapshot appends the state to the log if a snapshot is due; one read from another
+// process postpones it. Surplus snapshots and a lost reply to an append do no harm.
+func (f *Follower) writeSnapshot(ctx context.Context) {
+	now := f.options.Clock.Now()
+	f.updateSnapshotTime(now)
+	if now.Before(f.nextSnapshotAt) {
 		return
 	}
 	state := f.fold.State()
 	data, err := config.EncodeRecord(&config.Record{Snapshot: state})
 	var offset uint64
 	if err == nil {
-		offset, err = f.o.Log.Append(ctx, config.Stream, data)
+		offset, err = f.options.Log.Append(ctx, config.Stream, data)
 	}
-	f.snapshotAt = now.Add(f.soon())
+	f.nextSnapshotAt = now.Add(f.earlySnapshotDelay())
 	if err != nil {
-		event.Log(f.o.Logger, event.LogUnreachable, "op", "snapshot", "cause", err.Error())
+		event.Log(f.options.Logger, event.LogUnreachable, "op", "snapshot", "cause", err.Error())
 		return
 	}
-	f.passOver(offset, data)
-	event.Log(f.o.Logger, event.ConfigSnapshot, "version", state.Version, "as_of", state.AsOf)
+	f.consumeOwnSnapshot(offset, data)
+	event.Log(f.options.Logger, event.ConfigSnapshot, "version", state.Version, "as_of", state.AsOf)
 }
 
-// passOver moves on over a snapshot of our own that landed right at our position.
-// Were the log to go down now and drop it unread, nobody could know that nothing
-// else was there, and the whole fleet would be detached over a record of its own.
-func (f *Follower) passOver(offset uint64, data []byte) {
+// consumeOwnSnapshot applies a snapshot that this follower has just appended, if it is the
+// next record. Otherwise, if the log became unavailable and dropped the record unread, no
+// process could know that no change was lost, and none would be contiguous any more.
+func (f *Follower) consumeOwnSnapshot(offset uint64, data []byte) {
 	if offset != f.fold.NextOffset() {
 		return
 	}
 	b := config.Batch{From: offset, Records: []platformlog.Record{{Offset: offset, Data: data}}}
 	if _, err := f.fold.Apply(b.From, b.Records, offset+1); err == nil {
-		f.o.Replica.ApplyRead(f.fold.State(), b)
+		f.options.Replica.ApplyRead(f.fold.State(), b)
 	}
 }
 
-// noteSnapshots moves the time of the next snapshot. One seen while following is
-// new and puts it off; one seen on the way to the end for the first time may be
-// old, and says nothing. Records that were dropped with no snapshot after them
-// bring it forward.
-func (f *Follower) noteSnapshots(now time.Time) {
-	seen := f.fold.SnapshotCount()
-	fresh := seen != f.snapshots && f.caughtUp
-	if seen != f.snapshots {
-		f.missed = false
+// updateSnapshotTime adjusts the time of the next snapshot. A snapshot that is read after
+// the end of the log was reached once is new and postpones it; one that is read before may
+// be old and has no effect. If the log dropped unread records and no snapshot follows
+// them, the next one is written early.
+func (f *Follower) updateSnapshotTime(now time.Time) {
+	count := f.fold.SnapshotCount()
+	fresh := count != f.snapshotCount && f.caughtUp
+	if count != f.snapshotCount {
+		f.truncated = false
 	}
-	f.snapshots, f.caughtUp = seen, true
+	f.snapshotCount, f.caughtUp = count, true
 	if fresh {
-		f.snapshotAt = now.Add(f.o.SnapshotInterval/2 + f.jitter(f.o.SnapshotInterval/2))
+		f.nextSnapshotAt = now.Add(f.options.SnapshotInterval/2 + f.jitter(f.options.SnapshotInterval/2))
 	}
-	if f.missed {
-		f.missed = false
-		f.snapshotSoon(now)
+	if f.truncated {
+		f.truncated = false
+		f.advanceSnapshotTime(now)
 	}
 }
 
-func (f *Follower) snapshotSoon(now time.Time) {
-	soon := now.Add(f.soon())
-	if soon.Before(f.snapshotAt) {
-		f.snapshotAt = soon
+// advanceSnapshotTime makes the next snapshot due after a short random delay, if it is not
+// due earlier.
+func (f *Follower) advanceSnapshotTime(now time.Time) {
+	soon := now.Add(f.earlySnapshotDelay())
+	if soon.Before(f.nextSnapshotAt) {
+		f.nextSnapshotAt = soon
 	}
 }
