--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -17,15 +17,15 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// The letter's sizes that these benchmarks are about.
+// Design size of a fleet.
 const (
 	designTeams         = 140
 	designAgents        = 5700
 	designChangesPerDay = 8900
-	// Assumed: the letter does not say how many entries there are, nor to how many
-	// of them an agent is connected.
-	assumedEntries = 30
-	assumedLinks   = 4
+	// The design size does not include the number of entries, nor to how many of them an
+	// agent is connected.
+	assumedEntries     = 30
+	assumedConnections = 4
 )
 
 func must(b *testing.B, err error) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// designState has a quota for each team and 20 exceptions.
+// designState returns a state with a quota for each team and 20 exceptions.
 func designState(b *testing.B) *config.State {
 	c := &config.Change{ID: "first", Author: "operator", Reason: "the design size"}
 	for i := range designTeams {
@@ -62,10 +62,10 @@
 	return data
 }
 
-// BenchmarkApplyFromLog is what an entry spends on one change that it read.
+// BenchmarkApplyFromLog measures how long an entry takes to apply a change from the log.
 func BenchmarkApplyFromLog(b *testing.B) {
 	state := designState(b)
-	holder := config.NewReplica(config.Location{DataCentre: "dc1", Entry: "10.0.0.1:7400"}, clock.NewAnchored(), logr.Discard())
+	replica := config.NewReplica(config.Location{DataCentre: "dc1", Entry: "10.0.0.1:7400"}, clock.NewAnchored(), logr.Discard())
 	fold := config.NewFold(state)
 	size := 0
 	for i := range b.N {
@@ -75,7 +75,7 @@
 		records := []platformlog.Record{{Offset: next, Data: data}}
 		_, err := fold.Apply(next, records, next+1)
 		must(b, err)
-		holder.ApplyRead(fold.State(), config.Batch{From: next, Records: records})
+		replica.ApplyRead(fold.State(), config.Batch{From: next, Records: records})
 	}
 	encoded, err := config.EncodeState(state)
 	must(b, err)
@@ -83,11 +83,12 @@
 	b.ReportMetric(float64(len(encoded)), "state-B")
 }
 
-// BenchmarkApplyFromPeer is what an agent spends on one change that an entry sent.
+// BenchmarkApplyFromPeer measures how long an entry takes to encode an update with one
+// change, or with the whole state, and an agent to apply it.
 func BenchmarkApplyFromPeer(b *testing.B) {
 	for _, whole := range []bool{false, true} {
 		b.Run(fmt.Sprintf("whole-state=%v", whole), func(b *testing.B) {
-			entry, agent := holderAt(b), holderAt(b)
+			entry, agent := newDesignReplica(b), newDesignReplica(b)
 			fold := config.NewFold(entry.Get().State)
 			size := 0
 			for i := range b.N {
@@ -96,11 +97,11 @@
 				_, err := fold.Apply(next, records, next+1)
 				must(b, err)
 				entry.ApplyRead(fold.State(), config.Batch{From: next, Records: records})
-				mark := agent.Position()
+				position := agent.Position()
 				if whole {
-					mark = 0 // as a peer that knows nothing
+					position = 0 // as of a peer without any configuration
 				}
-				update, err := entry.EncodeUpdate(mark)
+				update, err := entry.EncodeUpdate(position)
 				must(b, err)
 				size = len(update)
 				must(b, agent.ApplyUpdate(update))
@@ -110,32 +111,32 @@
 	}
 }
 
-func holderAt(b *testing.B) *config.Replica {
-	h := config.NewReplica(config.Location{}, clock.NewAnchored(), logr.Discard())
-	h.ApplyState(designState(b), "log")
-	return h
+func newDesignReplica(b *testing.B) *config.Replica {
+	r := config.NewReplica(config.Location{}, clock.NewAnchored(), logr.Discard())
+	r.ApplyState(designState(b), "log")
+	return r
 }
 
-// BenchmarkIdleTell is one look of an entry at the connections of 760 agents while
-// nothing changes; it happens four times a second.
-func BenchmarkIdleTell(b *testing.B) {
-	const perEntry = designAgents * assumedLinks / assumedEntries
-	holder := holderAt(b)
-	fan := config.NewFanOut(nil)
+// BenchmarkIdleSendDue measures FanOut.SendDue on an entry with 760 agents while nothing
+// changes; it is called four times a second.
+func BenchmarkIdleSendDue(b *testing.B) {
+	const perEntry = designAgents * assumedConnections / assumedEntries
+	replica := newDesignReplica(b)
+	fanOut := config.NewFanOut(nil)
 	for i := range perEntry {
-		p := fan.Add(config.NewEntryLink(holder, rand.New(rand.NewPCG(1, uint64(i)))), func(uint64, []byte) {})
-		must(b, p.Receive(holder.Position()+1, nil))
+		p := fanOut.Add(config.NewEntryLink(replica, rand.New(rand.NewPCG(1, uint64(i)))), func(uint64, []byte) {})
+		must(b, p.Receive(replica.Position()+1, nil))
 	}
 	now := time.Now()
-	fan.SendDue(now)
+	fanOut.SendDue(now)
 	b.ResetTimer()
 	for range b.N {
-		fan.SendDue(now)
+		fanOut.SendDue(now)
 	}
 	b.ReportMetric(perEntry, "agents")
 }
 
-// BenchmarkSnapshots counts how many snapshots a fleet writes in a day.
+// BenchmarkSnapshots counts the snapshots that a fleet writes in a day.
 func BenchmarkSnapshots(b *testing.B) {
 	for _, n := range []int{3, 30, 100} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
@@ -165,30 +166,30 @@
 	return log.AppendCount()
 }
 
-// fanOutFleet is the design size with its connections, on a fake clock.
+// fanOutFleet is a fleet of the design size with its connections, on a fake clock.
 type fanOutFleet struct {
-	b         *testing.B
-	clock     *clock.Fake
-	log       *logfake.Log
-	entries   []*config.Replica
-	followers []*follower.Follower
-	pollAt    []time.Time
-	fans      []*config.FanOut
-	agents    []*config.Replica
-	agentFan  *config.FanOut
-	queue     []func()
-	sent      int // bytes of frames from entries
-	returned  int // bytes of frames from agents
-	updates   int
+	b                *testing.B
+	clock            *clock.Fake
+	log              *logfake.Log
+	entries          []*config.Replica
+	followers        []*follower.Follower
+	pollAt           []time.Time
+	fanOuts          []*config.FanOut
+	agents           []*config.Replica
+	agentFanOut      *config.FanOut
+	queue            []func()
+	bytesFromEntries int // in frames that carry configuration
+	bytesFromAgents  int // in frames that carry configuration
+	updates          int
 }
 
 func newFanOutFleet(b *testing.B) *fanOutFleet {
-	f := &fanOutFleet{b: b, clock: clock.NewFake(time.Unix(0, 0)), log: logfake.New(), agentFan: config.NewFanOut(nil)}
+	f := &fanOutFleet{b: b, clock: clock.NewFake(time.Unix(0, 0)), log: logfake.New(), agentFanOut: config.NewFanOut(nil)}
 	start := designState(b)
 	for i := range assumedEntries {
 		h := config.NewReplica(config.Location{}, f.clock, logr.Discard())
 		f.entries = append(f.entries, h)
-		f.fans = append(f.fans, config.NewFanOut(nil))
+		f.fanOuts = append(f.fanOuts, config.NewFanOut(nil))
 		f.followers = append(f.followers, follower.New(follower.Options{Log: f.log, Replica: h, Clock: f.clock, Logger: logr.Discard(), Rand: rand.New(rand.NewPCG(2, uint64(i)))}))
 		f.pollAt = append(f.pollAt, f.clock.Now())
 	}
@@ -198,7 +199,7 @@
 	for range designAgents {
 		h := config.NewReplica(config.Location{}, f.clock, logr.Discard())
 		f.agents = append(f.agents, h)
-		for _, e := range rng.Perm(assumedEntries)[:assumedLinks] {
+		for _, e := range rng.Perm(assumedEntries)[:assumedConnections] {
 			f.connect(e, h, rng)
 		}
 	}
@@ -211,25 +212,26 @@
 
 func (f *fanOutFleet) connect(e int, agent *config.Replica, rng *rand.Rand) {
 	var atEntry, atAgent *config.Peer
-	link := func() *rand.Rand { return rand.New(rand.NewPCG(rng.Uint64(), 0)) }
-	atEntry = f.fans[e].Add(config.NewEntryLink(f.entries[e], link()), func(mark uint64, update []byte) {
+	newRand := func() *rand.Rand { return rand.New(rand.NewPCG(rng.Uint64(), 0)) }
+	atEntry = f.fanOuts[e].Add(config.NewEntryLink(f.entries[e], newRand()), func(mark uint64, update []byte) {
 		frame, err := wire.Encode(&wire.ToAgent{Seq: 1 << 20, AckSeq: 1 << 20, Version: mark, Config: update})
 		must(f.b, err)
-		f.sent += len(frame)
+		f.bytesFromEntries += len(frame)
 		if update != nil {
 			f.updates++
 		}
 		f.queue = append(f.queue, func() { must(f.b, atAgent.Receive(mark, update)) })
 	})
-	atAgent = f.agentFan.Add(config.NewAgentLink(agent, link()), func(mark uint64, update []byte) {
+	atAgent = f.agentFanOut.Add(config.NewAgentLink(agent, newRand()), func(mark uint64, update []byte) {
 		frame, err := wire.Encode(&wire.ToEntry{Seq: 1 << 20, AckSeq: 1 << 20, Version: mark, Config: update})
 		must(f.b, err)
-		f.returned += len(frame)
+		f.bytesFromAgents += len(frame)
 		f.queue = append(f.queue, func() { must(f.b, atEntry.Receive(mark, update)) })
 	})
 }
 
-// step passes a quarter of a second.
+// step advances the clock by 250 ms, polls the log on each entry whose poll is due, and
+// sends and delivers frames.
 func (f *fanOutFleet) step() {
 	f.clock.Advance(250 * time.Millisecond)
 	now := f.clock.Now()
@@ -238,10 +240,10 @@
 			f.pollAt[i] = now.Add(p.Poll(context.Background()))
 		}
 	}
-	for _, fan := range f.fans {
-		fan.SendDue(now)
+	for _, fanOut := range f.fanOuts {
+		fanOut.SendDue(now)
 	}
-	f.agentFan.SendDue(now)
+	f.agentFanOut.SendDue(now)
 	queue := f.queue
 	f.queue = nil
 	for _, deliver := range queue {
@@ -250,8 +252,8 @@
 }
 
 func (f *fanOutFleet) inForce(version uint64) bool {
-	for _, holders := range [][]*config.Replica{f.entries, f.agents} {
-		for _, h := range holders {
+	for _, replicas := range [][]*config.Replica{f.entries, f.agents} {
+		for _, h := range replicas {
 			if h.Get().State.Version < version {
 				return false
 			}
@@ -260,7 +262,9 @@
 	return true
 }
 
-func (f *fanOutFleet) until(version uint64) time.Duration {
+// waitForVersion advances the fleet until the version is in force everywhere, and returns
+// how long that took.
+func (f *fanOutFleet) waitForVersion(version uint64) time.Duration {
 	began := f.clock.Now()
 	for !f.inForce(version) {
 		f.step()
@@ -268,44 +272,44 @@
 	return f.clock.Now().Sub(began)
 }
 
-// BenchmarkFanOut makes one change at a time at the design size and reports how
-// long it takes until it is in force on all 30 entries and 5,700 agents, on the
-// fake clock, and what it costs in frames that carry configuration.
+// BenchmarkFanOut publishes one change at a time at the design size and reports how long it
+// takes until it is in force on all 30 entries and 5,700 agents, on the fake clock, and the
+// traffic in frames that carry configuration.
 func BenchmarkFanOut(b *testing.B) {
 	f := newFanOutFleet(b)
-	f.until(1)
+	f.waitForVersion(1)
 	for range 120 {
-		f.step() // the connections fall silent
+		f.step() // until all updates have been sent
 	}
-	ops := config.NewPublisher(f.log, readOnce)
-	f.sent, f.returned, f.updates = 0, 0, 0
+	publisher := config.NewPublisher(f.log, readOnce)
+	f.bytesFromEntries, f.bytesFromAgents, f.updates = 0, 0, 0
 	var longest time.Duration
 	version := uint64(1)
-	quiet := time.Duration(0)
+	elapsed := time.Duration(0)
 	b.ResetTimer()
 	for i := range b.N {
-		s, err := ops.Publish(context.Background(), designChange(version, i))
+		s, err := publisher.Publish(context.Background(), designChange(version, i))
 		must(b, err)
 		version = s.Version
-		took := f.until(version)
+		took := f.waitForVersion(version)
 		longest = max(longest, took)
 		for range 40 {
 			f.step()
 		}
-		quiet += took + 10*time.Second
+		elapsed += took + 10*time.Second
 	}
 	perChange := func(n int) float64 { return float64(n) / float64(b.N) }
 	b.ReportMetric(longest.Seconds(), "s-to-last")
 	b.ReportMetric(perChange(f.updates)/designAgents, "updates/agent/change")
-	b.ReportMetric(perChange(f.sent)/assumedEntries, "entry-B/change")
-	b.ReportMetric(perChange(f.returned)/designAgents, "agent-B/change")
-	// Changes come every quiet/N here; the letter's rate is one in 9.7 s.
-	b.ReportMetric(float64(f.sent)/assumedEntries/quiet.Seconds(), "entry-B/s")
-	b.ReportMetric(float64(f.sent)/designAgents/quiet.Seconds(), "agent-in-B/s")
-	b.ReportMetric(float64(f.returned)/designAgents/quiet.Seconds(), "agent-out-B/s")
+	b.ReportMetric(perChange(f.bytesFromEntries)/assumedEntries, "entry-B/change")
+	b.ReportMetric(perChange(f.bytesFromAgents)/designAgents, "agent-B/change")
+	// Changes are made every elapsed/N here; the design rate is one in 9.7 s.
+	b.ReportMetric(float64(f.bytesFromEntries)/assumedEntries/elapsed.Seconds(), "entry-B/s")
+	b.ReportMetric(float64(f.bytesFromEntries)/designAgents/elapsed.Seconds(), "agent-in-B/s")
+	b.ReportMetric(float64(f.bytesFromAgents)/designAgents/elapsed.Seconds(), "agent-out-B/s")
 }
 
-// BenchmarkLoad is an operator's tool that reads three days of changes.
+// BenchmarkLoad measures how long the operators' tool takes to read three days of changes.
 func BenchmarkLoad(b *testing.B) {
 	log := logfake.New()
 	version := uint64(0)
--- a/internal/config/catalogue.go
+++ b/internal/config/catalogue.go
@@ -14,11 +14,11 @@
 // QuotaPrefix starts the key of a team's quota: "quota.team.<team>".
 const QuotaPrefix = "quota.team."
 
-// ScopeKind is the kind of thing an exception is about.
+// ScopeKind is the kind of scope that an exception applies to.
 type ScopeKind string
 
-// Kinds of scope. The narrowest one that fits wins: entry or target before rack
-// before data centre.
+// Kinds of scope. If several exceptions match, the narrowest scope takes precedence:
+// entry or target over rack, rack over data centre.
 const (
 	ScopeDataCentre ScopeKind = "data_centre"
 	ScopeRack       ScopeKind = "rack"
@@ -26,30 +26,32 @@
 	ScopeTarget     ScopeKind = "target"
 )
 
-// Definition describes a setting to operators and to the code that checks it.
+// Definition describes a setting: its unit, default, allowed range and scopes. It is used
+// to validate values and in the operators' tool.
 type Definition struct {
 	Key         Key
 	Unit        string
 	Default     int64
 	Min, Max    int64
-	Scopes      []ScopeKind // where an exception may change it; none: fleet-wide only
+	Scopes      []ScopeKind // scopes that allow an exception; none: fleet-wide only
 	Description string
 	field       func(*Settings) *int64
 }
 
-// Settings is what a configuration means to a process: every value resolved.
+// Settings contains the values in force at one location, with defaults and exceptions
+// resolved.
 type Settings struct {
-	MaxJobs                int64 // ids an entry holds, below its own -max-jobs
-	SoftQueueMs            int64 // queue from which teams above their share are turned away
-	HardQueueMs            int64 // queue from which everything is turned away
-	OvertakeFactorPercent  int64 // of the expected wait that a job must stand before its deadline
-	MaxDeadlineMs          int64 // farthest deadline a caller may ask for, below -max-timeout
-	BrokenFailurePercent   int64 // failure rate that a broken target is taken to have
-	InitialTrialIntervalMs int64 // wait before a broken target's first trial task
-	MaxTrialIntervalMs     int64 // longest wait between its trial tasks
-	DefaultQuota           int64 // tasks of one team that may run at a time; 0 means no limit
-	Drain                  bool  // takes no new work
-	drain                  int64
+	MaxJobs                int64 // most submission ids that an entry holds; a lower -max-jobs takes precedence
+	SoftQueueMs            int64 // queue length, in time to work it off, from which an entry rejects teams above their share
+	HardQueueMs            int64 // queue length, in time to work it off, from which an entry rejects everything
+	OvertakeFactorPercent  int64 // percentage by which an entry scales the expected wait of a job when it checks deadlines
+	MaxDeadlineMs          int64 // latest deadline that a caller may request; a lower -max-timeout takes precedence
+	BrokenFailurePercent   int64 // failure rate that a broken target is assumed to have
+	InitialTrialIntervalMs int64 // delay before a broken target's first trial task
+	MaxTrialIntervalMs     int64 // longest interval between its trial tasks
+	DefaultQuota           int64 // concurrent tasks of a team without its own quota; 0 means no limit
+	Drain                  bool  // no new work is placed here
+	drainValue             int64
 	quotas                 []quota
 }
 
@@ -58,8 +60,8 @@
 	limit int64
 }
 
-// Catalogue lists every setting but the teams' quotas, in order of its key. Each
-// takes effect on a running process; what can't is a flag and no setting here.
+// Catalogue lists every setting except the teams' quotas, sorted by key. Each takes
+// effect on a running process; parameters that can't are flags instead.
 var Catalogue = []Definition{
 	{"admission.hard_queue_ms", "ms", admission.HardQueue.Milliseconds(), 10, 600_000, []ScopeKind{ScopeDataCentre, ScopeEntry},
 		"queue, in time to work it off, from which an entry turns everything away", func(s *Settings) *int64 { return &s.HardQueueMs }},
@@ -70,7 +72,7 @@
 	{"deadline.max_ms", "ms", 600_000, 1_000, 86_400_000, nil,
 		"farthest deadline that a caller may ask for, where -max-timeout is not lower", func(s *Settings) *int64 { return &s.MaxDeadlineMs }},
 	{"drain", "0 or 1", 0, 0, 1, []ScopeKind{ScopeDataCentre, ScopeRack, ScopeTarget},
-		"1: gets no new work and finishes what it has", func(s *Settings) *int64 { return &s.drain }},
+		"1: gets no new work and finishes what it has", func(s *Settings) *int64 { return &s.drainValue }},
 	{"health.broken_percent", "%", 60, 5, 99, nil,
 		"failure rate that a broken target is taken to have; lower finds more of them", func(s *Settings) *int64 { return &s.BrokenFailurePercent }},
 	{"health.first_trial_ms", "ms", health.InitialTrialInterval.Milliseconds(), 100, 600_000, nil,
@@ -85,7 +87,8 @@
 
 var teamQuota = Definition{Unit: "tasks", Min: 1, Max: 10_000_000, Description: "tasks of the team that may run at a time"}
 
-// LookupDefinition returns the definition of a key, also of a team's quota.
+// LookupDefinition returns the definition of a key, including that of a team's quota, or
+// false if the key is unknown.
 func LookupDefinition(k Key) (Definition, bool) {
 	if team, ok := strings.CutPrefix(string(k), QuotaPrefix); ok {
 		d := teamQuota
@@ -101,13 +104,13 @@
 	return Catalogue[i], true
 }
 
-// Location names a process or a target for the resolution of exceptions. Empty
-// parts fit no exception.
+// Location is the position of a process or a target in the fleet, by which exceptions
+// are matched. Empty fields match no exception.
 type Location struct {
 	DataCentre, Rack, Entry, Target string
 }
 
-func (w Location) names(kind ScopeKind) string {
+func (w Location) nameFor(kind ScopeKind) string {
 	switch kind {
 	case ScopeDataCentre:
 		return w.DataCentre
@@ -121,12 +124,13 @@
 	return ""
 }
 
-// widestFirst is the order in which exceptions are laid over each other.
+// widestFirst is the order in which exceptions are applied, so that narrower scopes
+// override wider ones.
 var widestFirst = []ScopeKind{ScopeDataCentre, ScopeRack, ScopeEntry, ScopeTarget}
 
-// Resolve returns the settings in force at one place. Keys of a newer program
-// are skipped and values out of range are brought to the nearest bound: a process
-// must go on with what it can use, and all processes carry the same state on.
+// Resolve returns the settings in force at a location. Unknown keys, which come from a
+// newer program, are skipped, and values out of range are clamped: a process uses what
+// it supports, while every process keeps and forwards the same state.
 func (s *State) Resolve(w Location) Settings {
 	var out Settings
 	for _, d := range Catalogue {
@@ -141,12 +145,12 @@
 	}
 	for _, kind := range widestFirst {
 		for _, e := range s.Exceptions {
-			if e.Kind == kind && e.Name != "" && e.Name == w.names(kind) {
+			if e.Kind == kind && e.Name != "" && e.Name == w.nameFor(kind) {
 				assign(&out, e.Key, e.Value)
 			}
 		}
 	}
-	out.Drain = out.drain != 0
+	out.Drain = out.drainValue != 0
 	return out
 }
 
@@ -158,7 +162,7 @@
 	*d.field(out) = min(max(v, d.Min), d.Max)
 }
 
-// Quotas returns the teams' own quotas.
+// Quotas returns the quotas of the teams that have one of their own, by team.
 func (s *Settings) Quotas() map[string]int {
 	out := make(map[string]int, len(s.quotas))
 	for _, q := range s.quotas {
@@ -167,7 +171,7 @@
 	return out
 }
 
-// Quota returns how many tasks of a team may run at a time; 0 means no limit.
+// Quota returns how many tasks of a team may run concurrently; 0 means no limit.
 func (s *Settings) Quota(team string) int64 {
 	i, found := slices.BinarySearchFunc(s.quotas, team, func(q quota, t string) int {
 		return strings.Compare(q.team, t)
--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -5,33 +5,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Format is the version of the records and of encoded states.
+// Format is the format version of records and updates.
 const Format = 1
 
-// MaxStateBytes caps an encoded state. At the letter's 140 teams it takes a few
-// kilobytes; a larger one is refused before it is decoded.
+// MaxStateBytes limits an encoded state or update; a larger one is rejected before it is
+// decoded. At the design size of 140 teams a state takes a few kilobytes.
 const MaxStateBytes = 256 << 10
 
-// Record is what the configuration's stream holds: exactly one of its parts.
+// Record is a record of the configuration's stream. Exactly one of Change, Snapshot and
+// Restart is set.
 type Record struct {
 	Format   int      `cbor:"1,keyasint"`
 	Change   *Change  `cbor:"2,keyasint,omitempty"`
-	Snapshot *State   `cbor:"3,keyasint,omitempty"` // the state as of its AsOf
+	Snapshot *State   `cbor:"3,keyasint,omitempty"` // the state at position AsOf
 	Restart  *Restart `cbor:"4,keyasint,omitempty"`
 }
 
-// Restart starts the configuration anew from a state, after the log lost records
-// that no process had read. Only an operator may decide that, by hand.
+// Restart replaces the configuration by a state, after the log has lost records that no
+// process had read. Only an operator may decide to do so.
 type Restart struct {
 	ID     string `cbor:"1,keyasint"`
 	State  *State `cbor:"2,keyasint"`
-	End    uint64 `cbor:"3,keyasint"` // end of the log as the operator's tool saw it
+	End    uint64 `cbor:"3,keyasint"` // end of the log when the operator's tool read it
 	Author string `cbor:"4,keyasint"`
 	Reason string `cbor:"5,keyasint"`
 	AtMs   int64  `cbor:"6,keyasint"`
 }
 
-// CodecError is a record or state that can't be decoded.
+// CodecError reports a record, state or update that can't be encoded or decoded.
 type CodecError struct {
 	Cause error
 }
@@ -42,8 +43,8 @@
 // Unwrap returns the codec's error.
 func (e *CodecError) Unwrap() error { return e.Cause }
 
-// FormatError is a record of a format this program does not know. Skipping it
-// could skip an accepted change, so a reader stops there and says so.
+// FormatError reports a format that this program does not support. Skipping such a
+// record could skip an accepted change, so a reader stops there and reports the error.
 type FormatError struct {
 	Format int
 }
@@ -54,15 +55,15 @@
 }
 
 var (
-	errShape = errors.New("a record holds exactly one of change, snapshot and restart")
-	errOrder = errors.New("settings or exceptions out of order, repeated or without a reason")
-	errSize  = errors.New("too large")
+	errMalformed = errors.New("a record holds exactly one of change, snapshot and restart")
+	errOrder     = errors.New("settings or exceptions out of order, repeated or without a reason")
+	errSize      = errors.New("too large")
 )
 
 var (
-	encoder = mustEncoder()
-	decoder = mustDecoder()
-	peeker  = mustPeeker()
+	encoder       = mustEncoder()
+	decoder       = mustDecoder()
+	formatDecoder = mustFormatDecoder()
 )
 
 func mustEncoder() cbor.EncMode {
@@ -87,8 +88,9 @@
 	return mode
 }
 
-// mustPeeker reads the format alone, whatever else the record holds.
-func mustPeeker() cbor.DecMode {
+// mustFormatDecoder returns the decoder of a record's format number; it ignores all other
+// fields, which may be those of a newer format.
+func mustFormatDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxNestedLevels: 32, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(errors.NewAssertionErrorWithWrappedErrf(err, "cbor decoder options"))
@@ -96,7 +98,7 @@
 	return mode
 }
 
-// EncodeRecord returns a record's bytes.
+// EncodeRecord sets the record's format and encodes it. The error is a *CodecError.
 func EncodeRecord(r *Record) ([]byte, error) {
 	r.Format = Format
 	b, err := encoder.Marshal(r)
@@ -106,36 +108,38 @@
 	return b, nil
 }
 
-// DecodeRecord reads a record. The error is a *FormatError or a *CodecError.
+// DecodeRecord decodes and checks a record. The error is a *FormatError or a *CodecError.
 func DecodeRecord(b []byte) (*Record, error) {
-	var peek struct {
+	var header struct {
 		Format int `cbor:"1,keyasint"`
 	}
-	if err := peeker.Unmarshal(b, &peek); err != nil {
+	if err := formatDecoder.Unmarshal(b, &header); err != nil {
 		return nil, &CodecError{err}
 	}
-	if peek.Format > Format {
-		return nil, &FormatError{peek.Format}
+	if header.Format > Format {
+		return nil, &FormatError{header.Format}
 	}
 	r := new(Record)
 	if err := decoder.Unmarshal(b, r); err != nil {
 		return nil, &CodecError{err}
 	}
-	if err := r.checkShape(); err != nil {
+	if err := r.check(); err != nil {
 		return nil, &CodecError{err}
 	}
 	return r, nil
 }
 
-func (r *Record) checkShape() error {
+// check checks that exactly one part is set, and that a snapshot or restart is valid. The
+// structure of a change is checked when it is applied.
+func (r *Record) check() error {
 	parts := 0
-	for _, there := range []bool{r.Change != nil, r.Snapshot != nil, r.Restart != nil} {
-		if there {
+	for _, present := range []bool{r.Change != nil, r.Snapshot != nil, r.Restart != nil} {
+		if present {
 			parts++
 		}
 	}
 	if parts != 1 {
-		return errShape
+		return errMalformed
 	}
 	switch {
 	case r.Snapshot != nil:
@@ -148,12 +152,12 @@
 
 func (r *Restart) check() error {
 	if r.State == nil || r.ID == "" || r.Reason == "" || r.Author == "" {
-		return errShape
+		return errMalformed
 	}
 	return r.State.check()
 }
 
-// EncodeState returns a state's bytes, for frames between processes.
+// EncodeState encodes a state. The error is a *CodecError.
 func EncodeState(s *State) ([]byte, error) {
 	b, err := encoder.Marshal(s)
 	if err != nil {
@@ -162,7 +166,7 @@
 	return b, nil
 }
 
-// DecodeState reads a state that another process sent; the error is a *CodecError.
+// DecodeState decodes and checks a state. The error is a *CodecError.
 func DecodeState(b []byte) (*State, error) {
 	if len(b) > MaxStateBytes {
 		return nil, &CodecError{errSize}
@@ -177,9 +181,8 @@
 	return s, nil
 }
 
-// check refuses a state that the fold could not have made: look-ups rely on its
-// order, and a process that took a malformed one would answer differently from
-// its neighbours.
+// check rejects a state that no fold could have produced. Lookups rely on its order, so a
+// process with a malformed state would return other values than its peers.
 func (s *State) check() error {
 	if s.Version > s.AsOf || len(s.Settings) > MaxSettings || len(s.Exceptions) > MaxExceptions {
 		return errSize
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Diff returns one line for each setting or exception that differs, "-" for what
-// only the first has and "+" for what only the second has.
+// Diff returns one line for each setting or exception that differs, with the prefix "-"
+// if it is in the first state only and "+" if it is in the second only.
 func Diff(first, second *State) []string {
 	var lines []string
 	for _, s := range first.Settings {
@@ -21,13 +21,13 @@
 }
 
 func onlyIn(in, other *State, sign string) []string {
-	has := make(map[Exception]bool, len(other.Exceptions))
+	contains := make(map[Exception]bool, len(other.Exceptions))
 	for _, e := range other.Exceptions {
-		has[e] = true
+		contains[e] = true
 	}
 	var lines []string
 	for _, e := range in.Exceptions {
-		if !has[e] {
+		if !contains[e] {
 			lines = append(lines, fmt.Sprintf("%s except %s:%s %s=%d: %s", sign, e.Kind, e.Name, e.Key, e.Value, e.Reason))
 		}
 	}
--- a/internal/config/fanout.go
+++ b/internal/config/fanout.go
@@ -8,43 +8,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// fanOutEvery is how often the connections are looked through for peers to tell:
-// as often as heartbeats go out.
-const fanOutEvery = 250 * time.Millisecond
+// fanOutInterval is the interval at which each connection is checked for a position or
+// update to send. It equals that of the heartbeats.
+const fanOutInterval = 250 * time.Millisecond
 
-// An entry that has itself read the log lately repeats its mark, so that agents
-// know that they are current. One that misses the log stays silent. At 20 bytes a
-// frame this costs an entry of 760 agents 0.5 KB/s.
+// An entry that has read the log within maxConfirmAge repeats its position every
+// confirmInterval, so that agents know that their configuration is current. An entry that
+// can't read the log does not. At 20 bytes a frame this costs an entry with 760 agents
+// 0.5 KB/s.
 const (
-	vouchEvery  = 30 * time.Second
-	vouchWithin = 10 * time.Second
-	// PeerStaleAfter is three repetitions: one that is lost or late is no news.
-	PeerStaleAfter = 3 * vouchEvery
+	confirmInterval = 30 * time.Second
+	maxConfirmAge   = 10 * time.Second
+	// PeerStaleAfter is the age at which a configuration that peers confirm counts as
+	// stale. It is three repetitions, so that a single lost or late one has no effect.
+	PeerStaleAfter = 3 * confirmInterval
 )
 
-// FanOut tells the peers at the ends of a process's connections of changes. It is
-// safe for concurrent use.
+// FanOut sends positions and updates to the peers at the ends of a process's connections.
+// It is safe for concurrent use.
 type FanOut struct {
-	stale *Replica // says when it is stale; nil where a follower does
-	mu    sync.Mutex
-	peers map[*Peer]bool
+	staleReplica *Replica // its LogIfStale is called regularly; nil if a follower does so
+	mu           sync.Mutex
+	peers        map[*Peer]bool
 }
 
 // Peer is one connection of a FanOut.
 type Peer struct {
-	mu   sync.Mutex
-	link *Link
-	send func(mark uint64, update []byte)
-	said uint64
-	at   time.Time // zero: nothing said yet
+	mu           sync.Mutex
+	link         *Link
+	send         func(mark uint64, update []byte)
+	sentPosition uint64
+	sentAt       time.Time // when a position was last sent; zero: never
 }
 
-// NewFanOut returns a FanOut without connections. stale is the holder of a process
-// that hears of configuration from its peers alone, or nil.
-func NewFanOut(stale *Replica) *FanOut { return &FanOut{stale: stale, peers: map[*Peer]bool{}} }
+// NewFanOut returns a FanOut without connections. staleReplica is the replica of a process
+// that receives configuration from peers only, and nil on other processes.
+func NewFanOut(staleReplica *Replica) *FanOut {
+	return &FanOut{staleReplica: staleReplica, peers: map[*Peer]bool{}}
+}
 
-// Add takes a new connection in. send puts the mark and the update, which may be
-// empty, on a frame; it must not block.
+// Add adds a new connection. send puts a mark and an update, which may be empty, on a
+// frame; it must not block. A mark is a position plus one.
 func (f *FanOut) Add(l *Link, send func(mark uint64, update []byte)) *Peer {
 	p := &Peer{link: l, send: send}
 	f.mu.Lock()
@@ -53,17 +57,17 @@
 	return p
 }
 
-// Remove forgets a connection that ended.
+// Remove removes a connection that has ended.
 func (f *FanOut) Remove(p *Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.peers, p)
 }
 
-// Receive takes what a frame said about configuration; see Link.Receive. A frame that
-// says nothing (mark 0, no update) is passed over. So is an update of a newer
-// format: during a roll-out it must not cost the connection, and a process that
-// can't follow says that it is stale.
+// Receive handles the mark and the update of a frame; see Link.Receive. A frame without
+// either (mark 0, no update) is ignored. The error is a *CodecError. An update of a newer
+// format is ignored without an error: during a roll-out it must not end the connection,
+// and the process logs that its configuration is stale.
 func (p *Peer) Receive(mark uint64, update []byte) error {
 	if mark == 0 && len(update) == 0 {
 		return nil
@@ -78,21 +82,22 @@
 	return err
 }
 
-// tell sends what is due. Marks travel raised by one, so that a process without
-// any configuration says so too, and is told, instead of saying nothing.
-func (p *Peer) tell(now time.Time) {
+// sendDue sends a frame if the position has changed, an update is due, or the position must
+// be confirmed again. The mark is the position plus one, so that a process without any
+// configuration, at position 0, sends a mark too and receives an update.
+func (p *Peer) sendDue(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	mark, update := p.link.PrepareFrame(now)
-	vouch := now.Sub(p.at) >= vouchEvery && p.link.vouches()
-	if p.said == mark && update == nil && !p.at.IsZero() && !vouch {
+	position, update := p.link.PrepareFrame(now)
+	confirm := now.Sub(p.sentAt) >= confirmInterval && p.link.confirmsCurrent()
+	if p.sentPosition == position && update == nil && !p.sentAt.IsZero() && !confirm {
 		return
 	}
-	p.said, p.at = mark, now
-	p.send(mark+1, update)
+	p.sentPosition, p.sentAt = position, now
+	p.send(position+1, update)
 }
 
-// SendDue sends what is due on every connection.
+// SendDue sends a frame on each connection that has a position or an update to send.
 func (f *FanOut) SendDue(now time.Time) {
 	f.mu.Lock()
 	peers := make([]*Peer, 0, len(f.peers))
@@ -101,22 +106,22 @@
 	}
 	f.mu.Unlock()
 	for _, p := range peers {
-		p.tell(now)
+		p.sendDue(now)
 	}
 }
 
-// Run calls Tell until the context ends.
+// Run calls SendDue regularly until the context ends.
 func (f *FanOut) Run(ctx context.Context) {
-	tick := time.NewTicker(fanOutEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(fanOutInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			f.SendDue(now)
-			if f.stale != nil {
-				f.stale.LogIfStale(PeerStaleAfter)
+			if f.staleReplica != nil {
+				f.staleReplica.LogIfStale(PeerStaleAfter)
 			}
 		}
 	}
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -6,38 +6,38 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// Stream is the stream of the platform's log that holds the configuration.
+// Stream is the name of the platform log's stream that contains the configuration.
 const Stream = "camphorrack-config"
 
-// Outcome is what the fold made of a record.
+// Outcome classifies what a fold did with a record.
 type Outcome int
 
-// Outcomes. A record that is no change counts as Ignored.
+// Outcomes. Snapshots are Ignored. A void change or restart has no effect on any process.
 const (
 	Ignored       Outcome = iota
-	Accepted              // the change made a new version
-	VoidStaleBase         // its base was no longer the current version
-	VoidInvalid           // it can't be part of any state
-	Malformed             // its bytes are no record
-	Undetermined          // met while detached: whether it was accepted can't be told
+	Accepted              // it produced a new version
+	VoidStaleBase         // void: its base version was not current
+	VoidInvalid           // void: the change is invalid, see StructureError
+	Malformed             // it can't be decoded
+	Undetermined          // read while records are missing: whether it was accepted is unknown
 )
 
 var outcomeNames = []string{"ignored", "accepted", "void (based on an older version)", "void (malformed change)", "malformed", "not judged (before the first snapshot kept)"}
 
-// String names the outcome.
+// String returns the outcome as the operators' tool prints it.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is the outcome of one change or restart.
+// Result reports what a fold did with one change, restart or malformed record.
 type Result struct {
 	Offset  uint64
 	Outcome Outcome
-	Change  *Change  // nil for a restart
-	Restart *Restart // nil for a change
-	State   *State   // the state in force after the record
-	Err     error    // for VoidShape and Malformed
+	Change  *Change  // nil unless the record is a change
+	Restart *Restart // nil unless the record is a restart
+	State   *State   // the state after the record
+	Err     error    // set for VoidInvalid and Malformed
 }
 
-// ID returns the id of the change or restart, or "".
+// ID returns the id of the change or restart, or "" for a malformed record.
 func (v *Result) ID() string {
 	switch {
 	case v.Change != nil:
@@ -48,77 +48,84 @@
 	return ""
 }
 
-// ErrGap says that records were offered that do not follow on what was folded.
+// ErrGap is returned by Apply if records are missing between the fold's position and
+// those passed to it.
 var ErrGap = errors.New("records do not follow on the position of the fold")
 
-// Fold turns the log into the configuration, record by record. It decides by the
-// order of the log alone, so every process that reads the same records holds the
-// same state. A Fold belongs to one goroutine.
+// Fold derives the configuration from the log, record by record. The result depends on
+// the order of the records alone, so every process that reads the same records has the
+// same state. A Fold is not safe for concurrent use.
 //
-// It is attached while it has seen every record up to its position. Once the log
-// has dropped records that it had not seen, it can't know whether one of them was
-// an accepted change. Folding on regardless would let it take changes that are
-// void for everyone else, and two halves of the fleet would part for good. So a
-// detached fold keeps its state and takes no change until it meets a snapshot
-// whose position it can follow on from.
+// A fold is contiguous while it has applied every record up to its position. If the log
+// drops records that the fold has not read, one of them may have been an accepted
+// change. If the fold continued regardless, it could accept changes that are void on
+// other processes, and the fleet would diverge permanently. So a fold that is not
+// contiguous keeps its state and accepts no change. It only scans the log, until it can
+// continue from a snapshot, a valid restart or the state of another process.
 type Fold struct {
-	state     *State
-	attached  bool
-	scanFrom  uint64 // while detached: first record seen without a gap
-	scanNext  uint64 // while detached: the next one to read
-	scanWrite uint64 // while detached: what State.LastWrite is while attached
-	snapshots uint64 // snapshot records met
-	lowest    uint64 // first offset read since the last loss
+	state         *State
+	contiguous    bool
+	scanFrom      uint64 // unless contiguous: all records from this offset to scanNext have been read
+	scanNext      uint64 // unless contiguous: next offset to read
+	scanLastWrite uint64 // unless contiguous: used in place of State.LastWrite
+	snapshotCount uint64 // snapshot records read
+	lowestKept    uint64 // lowest offset kept by the log at the last truncation; 0: none
 }
 
-// NewFold returns a fold that goes on from a state, which another fold made.
-func NewFold(s *State) *Fold { return &Fold{state: s, attached: true} }
+// NewFold returns a contiguous fold that continues from a state that a fold produced.
+func NewFold(s *State) *Fold { return &Fold{state: s, contiguous: true} }
 
-// State returns the current state; it must not be changed.
+// State returns the current state, which must not be modified.
 func (f *Fold) State() *State { return f.state }
 
-// Contiguous reports whether the state is certainly current as of its position.
-func (f *Fold) Contiguous() bool { return f.attached }
+// Contiguous reports whether the fold has applied every record up to its position, so
+// that the state is certainly the one in force there.
+func (f *Fold) Contiguous() bool { return f.contiguous }
 
-// SnapshotCount returns how many snapshot records were met, to tell when one is due.
-func (f *Fold) SnapshotCount() uint64 { return f.snapshots }
+// SnapshotCount returns how many snapshot records were read. Followers use it to detect
+// snapshots of other processes.
+func (f *Fold) SnapshotCount() uint64 { return f.snapshotCount }
 
-// NextOffset returns the offset to read from.
+// NextOffset returns the offset at which the next read must begin.
 func (f *Fold) NextOffset() uint64 {
-	if f.attached {
+	if f.contiguous {
 		return f.state.AsOf
 	}
 	return f.scanNext
 }
 
-// HandleTruncation tells the fold that the log has dropped everything below lowest.
+// HandleTruncation records that the log has dropped all records below lowest. If the fold
+// has not read all of them, it is no longer contiguous and scans from lowest on.
 func (f *Fold) HandleTruncation(lowest uint64) {
 	if lowest <= f.NextOffset() {
 		return
 	}
-	f.attached = false
-	f.scanFrom, f.scanNext, f.scanWrite, f.lowest = lowest, lowest, 0, lowest
+	f.contiguous = false
+	f.scanFrom, f.scanNext, f.scanLastWrite, f.lowestKept = lowest, lowest, 0, lowest
 }
 
-// AdvanceTo takes over a state that another process folded, if it is farther on. It
-// reports whether it did.
+// AdvanceTo replaces the state by one that another process derived from the log, if that
+// has a higher position, and reports whether it did. The fold is then contiguous, unless
+// the log has dropped records between that position and the first one scanned.
 func (f *Fold) AdvanceTo(s *State) bool {
 	if s.AsOf <= f.state.AsOf || s.Version < f.state.Version {
 		return false
 	}
-	if !f.attached && s.AsOf < f.scanFrom {
+	if !f.contiguous && s.AsOf < f.scanFrom {
 		f.state = s
 		return true
 	}
-	f.state, f.attached = s, true
+	f.state, f.contiguous = s, true
 	return true
 }
 
-// Apply folds the records of one read that began at from. Records that were folded
-// before are passed over, so a read that is answered twice or late does no harm;
-// one that leaves a gap is refused with ErrGap. After a snapshot that attaches the
-// fold the position is the snapshot's, and what follows is read again. At a record of an unknown format
-// it stops with a *FormatError and keeps its place.
+// Apply applies the records of one read, which began at offset from and after which next
+// is the offset to read, and returns the results of changes, restarts and malformed
+// records. Records below the fold's position are skipped, so a repeated or delayed read
+// has no effect; a read that begins above it fails with ErrGap. If a snapshot makes the
+// fold contiguous, the position returns to that of the snapshot, and the records from
+// there on must be read again. At a record of an unknown format Apply stops with a
+// *FormatError, and the position stays below that record.
 func (f *Fold) Apply(from uint64, records []platformlog.Record, next uint64) ([]Result, error) {
 	if from > f.NextOffset() {
 		return nil, ErrGap
@@ -128,7 +135,7 @@
 		if r.Offset < f.NextOffset() {
 			continue
 		}
-		v, err := f.step(r)
+		v, err := f.applyRecord(r)
 		if err != nil {
 			return out, err
 		}
@@ -136,19 +143,19 @@
 			out = append(out, v)
 		}
 		if f.NextOffset() <= r.Offset {
-			return out, nil // a snapshot took the position back: read again from there
+			return out, nil // a snapshot moved the position back: read again from there
 		}
 	}
-	f.moveTo(next)
+	f.advancePosition(next)
 	return out, nil
 }
 
-// moveTo notes that every record below next has been seen.
-func (f *Fold) moveTo(next uint64) {
+// advancePosition records that every record below next has been read.
+func (f *Fold) advancePosition(next uint64) {
 	if next <= f.NextOffset() {
 		return
 	}
-	if !f.attached {
+	if !f.contiguous {
 		f.scanNext = next
 		return
 	}
@@ -157,7 +164,9 @@
 	f.state = &moved
 }
 
-func (f *Fold) step(r platformlog.Record) (Result, error) {
+// applyRecord applies one record. The error is a *FormatError, which leaves the fold
+// unchanged.
+func (f *Fold) applyRecord(r platformlog.Record) (Result, error) {
 	rec, err := DecodeRecord(r.Data)
 	var format *FormatError
 	if errors.As(err, &format) {
@@ -169,25 +178,25 @@
 		v.Outcome, v.Err = Malformed, err
 	case rec.Change != nil:
 		v.Change = rec.Change
-		f.change(&v)
+		f.applyChange(&v)
 	case rec.Restart != nil:
 		v.Restart = rec.Restart
-		f.restart(&v)
+		f.applyRestart(&v)
 	case rec.Snapshot != nil:
-		f.snapshots++
-		if f.meetSnapshot(rec.Snapshot) {
-			return v, nil // the position went back to the snapshot's
+		f.snapshotCount++
+		if f.applySnapshot(rec.Snapshot) {
+			return v, nil // the position moved back to that of the snapshot
 		}
 	}
-	f.moveTo(r.Offset + 1)
+	f.advancePosition(r.Offset + 1)
 	v.State = f.state
 	return v, nil
 }
 
-// wrote notes the offset of a change or restart, whatever comes of it.
-func (f *Fold) wrote(offset uint64) {
-	if !f.attached {
-		f.scanWrite = offset + 1
+// recordWrite updates LastWrite for a change or restart at offset, whether void or not.
+func (f *Fold) recordWrite(offset uint64) {
+	if !f.contiguous {
+		f.scanLastWrite = offset + 1
 		return
 	}
 	written := *f.state
@@ -195,9 +204,10 @@
 	f.state = &written
 }
 
-func (f *Fold) change(v *Result) {
-	f.wrote(v.Offset)
-	if !f.attached {
+// applyChange applies a change and sets the outcome of the result.
+func (f *Fold) applyChange(v *Result) {
+	f.recordWrite(v.Offset)
+	if !f.contiguous {
 		v.Outcome = Undetermined
 		return
 	}
@@ -215,30 +225,31 @@
 	v.Outcome = Accepted
 }
 
-// meetSnapshot attaches a detached fold at the snapshot's position and reports
-// whether it did; the records from there on are then read again. A snapshot whose
-// position lies before the first record this fold has seen is of no use: a change
-// between the two may have been accepted. An attached fold needs none and passes
-// over it, which makes several writers, and one that was slow, harmless.
-func (f *Fold) meetSnapshot(s *State) bool {
-	if f.attached || s.AsOf < f.scanFrom || s.Version < f.state.Version {
+// applySnapshot makes a fold contiguous at the snapshot's position and reports whether it
+// did; the records from there on must then be read again. A snapshot whose position is
+// below the first record scanned can't be used: a change between the two may have been
+// accepted. A contiguous fold ignores snapshots, so concurrent and delayed writers of
+// snapshots do no harm.
+func (f *Fold) applySnapshot(s *State) bool {
+	if f.contiguous || s.AsOf < f.scanFrom || s.Version < f.state.Version {
 		return false
 	}
-	f.state, f.attached = s, true
+	f.state, f.contiguous = s, true
 	return true
 }
 
-// restart takes the state of a restart. It is void where a change or another
-// restart was written after its author had read the log, so one that is appended
-// twice, or lands late, overrides nothing.
-func (f *Fold) restart(v *Result) {
+// applyRestart applies a restart and sets the outcome of the result. A restart is void if
+// a change or another restart was written after its author had read the log, so a
+// restart that is appended twice or late overrides nothing. The outcome is undetermined
+// if the log has dropped records that may be such a change.
+func (f *Fold) applyRestart(v *Result) {
 	r := v.Restart
-	lastWrite := f.scanWrite
-	if f.attached {
+	lastWrite := f.scanLastWrite
+	if f.contiguous {
 		lastWrite = f.state.LastWrite
 	}
-	f.wrote(v.Offset)
-	if !f.attached && r.End < f.scanFrom {
+	f.recordWrite(v.Offset)
+	if !f.contiguous && r.End < f.scanFrom {
 		v.Outcome = Undetermined
 		return
 	}
@@ -249,6 +260,6 @@
 	next := *r.State
 	next.Version, next.LastWrite, next.AsOf = v.Offset+1, v.Offset+1, v.Offset+1
 	next.ChangeID, next.Author, next.Reason, next.AtMs = r.ID, r.Author, r.Reason, r.AtMs
-	f.state, f.attached = &next, true
+	f.state, f.contiguous = &next, true
 	v.Outcome = Accepted
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// Whatever comes from the log or from a peer, a process stays alive, and what it
-// took is a state that it can pass on and read back.
+// No bytes from the log or from a peer may crash a process, and each state that it accepts
+// from them can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	change, err := config.EncodeRecord(&config.Record{Change: &config.Change{ID: "a", Author: "x", Set: []config.Setting{{Key: "drain", Value: 1}}}})
 	if err != nil {
@@ -29,26 +29,27 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		fold := config.NewFold(&config.State{})
 		_, _ = fold.Apply(0, []platformlog.Record{{Offset: 0, Data: data}}, 1)
-		survives(t, fold.State())
-		lost := config.NewFold(&config.State{})
-		lost.HandleTruncation(2)
-		_, _ = lost.Apply(2, []platformlog.Record{{Offset: 2, Data: data}}, 3)
-		survives(t, lost.State())
+		checkRoundTrip(t, fold.State())
+		truncated := config.NewFold(&config.State{})
+		truncated.HandleTruncation(2)
+		_, _ = truncated.Apply(2, []platformlog.Record{{Offset: 2, Data: data}}, 3)
+		checkRoundTrip(t, truncated.State())
 		if s, err := config.DecodeState(data); err == nil {
-			survives(t, s)
+			checkRoundTrip(t, s)
 		}
 		_, _ = config.DecodeUpdate(data)
 	})
 }
 
-func survives(t *testing.T, s *config.State) {
+// checkRoundTrip checks that a state can be encoded, decoded and resolved.
+func checkRoundTrip(t *testing.T, s *config.State) {
 	t.Helper()
 	b, err := config.EncodeState(s)
 	if err != nil {
-		t.Fatalf("can't be encoded: %v", err)
+		t.Fatalf("encode the state: %v", err)
 	}
 	if _, err := config.DecodeState(b); err != nil {
-		t.Fatalf("can't be read back: %v", err)
+		t.Fatalf("decode the encoded state: %v", err)
 	}
 	s.Resolve(config.Location{DataCentre: "a", Target: "b"})
 }
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -10,158 +10,159 @@
 	"github.com/camphorrack/camphorrack/internal/event"
 )
 
-// Sources of a configuration.
+// Sources of a configuration: read from the log, received from a peer, or the built-in
+// defaults.
 const (
 	SourceLog     = "log"
 	SourcePeer    = "peer"
 	SourceBuiltIn = "built-in"
 )
 
-// Applied is what is in force on a process.
+// Applied is the configuration in force on a process.
 type Applied struct {
 	State    *State
-	Settings Settings // resolved for this process
-	At       time.Time
-	Source   string // where it was heard
+	Settings Settings  // resolved for the process's location
+	At       time.Time // when it was applied
+	Source   string    // SourceLog, SourcePeer or SourceBuiltIn
 }
 
-// Replica is the configuration in force on one process. It takes rising versions
-// only: a late or repeated message, a peer that is behind or a restarted reader
-// would otherwise bring back a limit that an operator has already lifted. It is
-// safe for concurrent use.
+// Replica is a process's copy of the configuration in force. Its version only increases:
+// otherwise a delayed or repeated message, an outdated peer or a restarted reader could
+// restore a limit that an operator has already lifted. It is safe for concurrent use.
 type Replica struct {
-	where Location
-	clock clock.Clock
-	log   logr.Logger
-
-	mu        sync.Mutex
-	applied   *Applied
-	tail      tail
-	confirmed time.Time
-	saidStale bool
-	watchers  []func(*Applied)
+	location Location
+	clock    clock.Clock
+	log      logr.Logger
+
+	mu          sync.Mutex
+	applied     *Applied
+	tail        tail
+	confirmedAt time.Time
+	staleLogged bool
+	watchers    []func(*Applied)
 }
 
-// NewReplica returns a holder of the built-in defaults, for the process at where.
-func NewReplica(where Location, c clock.Clock, log logr.Logger) *Replica {
-	h := &Replica{where: where, clock: c, log: log, confirmed: c.Now()}
-	h.applied = &Applied{State: &State{}, Settings: (&State{}).Resolve(where), At: c.Now(), Source: SourceBuiltIn}
-	return h
+// NewReplica returns a replica with the built-in defaults, for a process at location.
+func NewReplica(location Location, c clock.Clock, log logr.Logger) *Replica {
+	r := &Replica{location: location, clock: c, log: log, confirmedAt: c.Now()}
+	r.applied = &Applied{State: &State{}, Settings: (&State{}).Resolve(location), At: c.Now(), Source: SourceBuiltIn}
+	return r
 }
 
-// Get returns what is in force; it must not be changed.
-func (h *Replica) Get() *Applied {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.applied
+// Get returns the configuration in force, which must not be modified.
+func (r *Replica) Get() *Applied {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.applied
 }
 
-// Resolve returns the settings in force at another place, such as a target.
-func (h *Replica) Resolve(w Location) Settings { return h.Get().State.Resolve(w) }
-
-// Watch calls f with what is in force now and after each change. The calls come in
-// order of version, on the goroutine that brought the change, and f must not
-// block or call the holder.
-func (h *Replica) Watch(f func(*Applied)) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.watchers = append(h.watchers, f)
-	f(h.applied)
+// Resolve returns the settings in force at another location, such as that of a target.
+func (r *Replica) Resolve(w Location) Settings { return r.Get().State.Resolve(w) }
+
+// Watch calls f with the configuration in force, at once and after each change. Calls are
+// made in order of version, on the goroutine that applied the change. f must not block
+// or call the replica.
+func (r *Replica) Watch(f func(*Applied)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.watchers = append(r.watchers, f)
+	f(r.applied)
 }
 
-// ApplyState puts a state in force where its version is higher than the one in force,
-// and reports whether it did. The same version at a later position is only noted.
-func (h *Replica) ApplyState(s *State, source string) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	current := h.applied.State
+// ApplyState puts a state in force if its version is higher than the current one, and
+// reports whether it did. A state of the same version only raises the position.
+func (r *Replica) ApplyState(s *State, source string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	current := r.applied.State
 	if s.Version < current.Version || s.Version == current.Version && s.AsOf <= current.AsOf {
 		return false
 	}
 	if s.Version == current.Version {
-		noted := *h.applied
-		noted.State = s
-		h.applied = &noted
+		updated := *r.applied
+		updated.State = s
+		r.applied = &updated
 		return false
 	}
-	h.applied = &Applied{State: s, Settings: s.Resolve(h.where), At: h.clock.Now(), Source: source}
-	event.Log(h.log, event.ConfigApplied, "version", s.Version, "change", s.ChangeID,
+	r.applied = &Applied{State: s, Settings: s.Resolve(r.location), At: r.clock.Now(), Source: source}
+	event.Log(r.log, event.ConfigApplied, "version", s.Version, "change", s.ChangeID,
 		"author", s.Author, "reason", s.Reason, "source", source)
-	for _, f := range h.watchers {
-		f(h.applied)
+	for _, f := range r.watchers {
+		f(r.applied)
 	}
 	return true
 }
 
-// MarkCurrent notes that what is in force was just found to be current: by an entry in
-// the log, by an agent at an entry.
-func (h *Replica) MarkCurrent() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.confirmed = h.clock.Now()
+// MarkCurrent records that the configuration in force was confirmed to be current just
+// now: for an entry by the log, for an agent by an entry.
+func (r *Replica) MarkCurrent() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.confirmedAt = r.clock.Now()
 }
 
-// Age is how long ago this process last found its configuration to be current.
-func (h *Replica) Age() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.clock.Now().Sub(h.confirmed)
+// Age returns the time since the configuration was last confirmed to be current.
+func (r *Replica) Age() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.clock.Now().Sub(r.confirmedAt)
 }
 
-// LogIfStale logs once when this process has not found its configuration to be
-// current for so long, and again only after it had. Without it, one process that
-// lost touch would quietly go on with old limits.
-func (h *Replica) LogIfStale(after time.Duration) {
-	age := h.Age()
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// LogIfStale logs an event if the configuration has not been confirmed to be current for
+// the duration after. The event is logged once, and again only after a call with a lower
+// age. Without it, a process that is cut off would apply outdated limits unnoticed.
+func (r *Replica) LogIfStale(after time.Duration) {
+	age := r.Age()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if age < after {
-		h.saidStale = false
+		r.staleLogged = false
 		return
 	}
-	if h.saidStale {
+	if r.staleLogged {
 		return
 	}
-	h.saidStale = true
-	event.Log(h.log, event.ConfigStale, "age_ms", age.Milliseconds(), "version", h.applied.State.Version)
+	r.staleLogged = true
+	event.Log(r.log, event.ConfigStale, "age_ms", age.Milliseconds(), "version", r.applied.State.Version)
 }
 
-// Position is what a process tells its peers on frames that are sent anyway: the
-// position of its state, which rises with the version.
-func (h *Replica) Position() uint64 { return h.Get().State.AsOf }
+// Position returns the position of the state in the log, which increases with the
+// version. Processes send it to their peers on frames that are sent anyway.
+func (r *Replica) Position() uint64 { return r.Get().State.AsOf }
 
-// EncodeUpdate returns, encoded, what a peer at mark lacks.
-func (h *Replica) EncodeUpdate(mark uint64) ([]byte, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return encodeUpdate(h.applied.State, &h.tail, mark)
+// EncodeUpdate returns an encoded Update for a peer at position. The error is a
+// *CodecError.
+func (r *Replica) EncodeUpdate(position uint64) ([]byte, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return encodeUpdate(r.applied.State, &r.tail, position)
 }
 
-// ApplyUpdate applies an update from a peer. The error is a *CodecError or a
-// *FormatError, and then nothing was applied.
-func (h *Replica) ApplyUpdate(b []byte) error {
+// ApplyUpdate applies an encoded update from a peer. If it returns an error, which is a
+// *CodecError or a *FormatError, nothing was applied.
+func (r *Replica) ApplyUpdate(b []byte) error {
 	u, err := DecodeUpdate(b)
 	if err != nil {
 		return err
 	}
-	s, err := u.apply(h.Get().State)
+	s, err := u.apply(r.Get().State)
 	if err != nil || s == nil {
 		return err
 	}
 	if u.State == nil {
-		h.mu.Lock()
-		h.tail.extend(u.From, u.records(), u.Next)
-		h.mu.Unlock()
+		r.mu.Lock()
+		r.tail.extend(u.From, u.records(), u.Next)
+		r.mu.Unlock()
 	}
-	h.ApplyState(s, SourcePeer)
+	r.ApplyState(s, SourcePeer)
 	return nil
 }
 
-// ApplyRead offers a state that was read from the log, with the records of the read,
-// which are kept for peers that lack only those.
-func (h *Replica) ApplyRead(s *State, b Batch) bool {
-	h.mu.Lock()
-	h.tail.extend(b.From, b.Records, s.AsOf)
-	h.mu.Unlock()
-	return h.ApplyState(s, SourceLog)
+// ApplyRead applies a state that was read from the log, as ApplyState does. The newest
+// records of the read are kept for updates to peers.
+func (r *Replica) ApplyRead(s *State, b Batch) bool {
+	r.mu.Lock()
+	r.tail.extend(b.From, b.Records, s.AsOf)
+	r.mu.Unlock()
+	return r.ApplyState(s, SourceLog)
 }
--- a/internal/config/linearize_test.go
+++ b/internal/config/linearize_test.go
@@ -16,28 +16,30 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog/logfake"
 )
 
-// Calls of operators, as the linearizability checker sees them.
+// call is an operator's call: a get, or a set of the quota on a base version.
 type call struct {
 	set   bool
 	base  uint64
 	value int64
 }
 
+// result is the outcome of a call.
 type result struct {
-	version uint64 // set: the version it made; get: the one in force
-	value   int64  // get
-	unknown bool   // undecided: whether and when it took effect is found in the log
-	refused bool   // conflict: it never takes effect
+	version   uint64 // set: version it produced; get: version in force
+	value     int64  // get
+	undecided bool   // undecided: whether it took effect is determined from the log
+	conflict  bool   // conflict: the set never takes effect
 }
 
+// register is the model's state.
 type register struct {
 	version uint64
 	value   int64
 }
 
-// compareAndSet is what operators are promised: a set takes effect at one moment
-// between its call and its return if its base is current then, and a get sees the
-// newest that did. Versions rise.
+// compareAndSet models the guarantee for operators: a set takes effect atomically between
+// its call and its return if its base is current at that time, and a get returns the
+// newest set that has taken effect. Versions only increase.
 var compareAndSet = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -46,17 +48,18 @@
 		switch {
 		case !in.set:
 			return out.version == s.version && out.value == s.value, s
-		case out.refused, out.unknown && out.version == 0:
-			return out.unknown || !current, s
+		case out.conflict, out.undecided && out.version == 0:
+			return out.undecided || !current, s
 		}
 		return current && out.version > s.version, register{out.version, in.value}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Operators work at the same time while answers get lost. If a get showed an older
-// version than one that had been read before, or two sets on one base were both
-// accepted, scripts that read and then change would undo each other's work.
+// Operators make concurrent calls while replies of the log are lost. If a get returned an
+// older version than one that was read before, or two sets on the same base were both
+// accepted, scripts that read and then change the configuration would overwrite each
+// other's changes.
 func TestLinearizable(t *testing.T) {
 	g := NewWithT(t)
 	const operators, calls = 4, 25
@@ -65,16 +68,16 @@
 		var mu sync.Mutex
 		var events []porcupine.Operation
 		var all sync.WaitGroup
-		began := time.Now()
+		start := time.Now()
 		for id := range operators {
 			rng := rand.New(rand.NewPCG(seed, uint64(id)))
 			all.Go(func() {
-				ops := config.NewPublisher(log, readOnce)
+				publisher := config.NewPublisher(log, readOnce)
 				for i := range calls {
 					if rng.IntN(6) == 0 {
 						log.SetFaults([]logfake.Faults{{}, {}, {LoseAnswers: true}, {ReadsUnavailable: true}}[rng.IntN(4)])
 					}
-					op, ok := operate(ops, int64(id*calls+i+1), rng.IntN(3) > 0, began)
+					op, ok := readOrSet(publisher, int64(id*calls+i+1), rng.IntN(3) > 0, start)
 					if !ok {
 						continue
 					}
@@ -87,15 +90,15 @@
 		}
 		all.Wait()
 		log.SetFaults(logfake.Faults{})
-		settle(g, log, events, began)
+		resolveUndecided(g, log, events, start)
 		g.Expect(porcupine.CheckOperations(compareAndSet, events)).To(BeTrue(), "seed %d", seed)
 	}
 }
 
-// operate makes one call and reports false where it had no effect and no answer.
-func operate(ops *config.Publisher, value int64, set bool, began time.Time) (porcupine.Operation, bool) {
-	op := porcupine.Operation{Call: time.Since(began).Nanoseconds()}
-	fold, _, err := ops.Load(context.Background())
+// readOrSet makes one call. It returns false if the call had neither an effect nor a result.
+func readOrSet(publisher *config.Publisher, value int64, set bool, start time.Time) (porcupine.Operation, bool) {
+	op := porcupine.Operation{Call: time.Since(start).Nanoseconds()}
+	fold, _, err := publisher.Load(context.Background())
 	if err != nil {
 		return op, false
 	}
@@ -103,21 +106,21 @@
 	current, _ := s.Value("quota.team.a")
 	if !set {
 		op.Input, op.Output = call{}, result{version: s.Version, value: current}
-		op.Return = time.Since(began).Nanoseconds()
+		op.Return = time.Since(start).Nanoseconds()
 		return op, true
 	}
 	op.Input = call{set: true, base: s.Version, value: value}
-	made, err := ops.Publish(context.Background(), setQuota(s.Version, "a", value))
-	op.Return = time.Since(began).Nanoseconds()
+	produced, err := publisher.Publish(context.Background(), setQuota(s.Version, "a", value))
+	op.Return = time.Since(start).Nanoseconds()
 	if err == nil {
-		op.Output = result{version: made.Version}
+		op.Output = result{version: produced.Version}
 		return op, true
 	}
 	switch faultCode(err) {
 	case fault.ConfigConflict:
-		op.Output = result{refused: true}
+		op.Output = result{conflict: true}
 	case fault.ConfigUndecided:
-		op.Output = result{unknown: true}
+		op.Output = result{undecided: true}
 	default:
 		return op, false // nothing was appended
 	}
@@ -132,20 +135,21 @@
 	return 0
 }
 
-// settle lets undecided sets last until now, and finds the versions they made.
-func settle(g Gomega, log *logfake.Log, events []porcupine.Operation, began time.Time) {
-	_, verdicts, err := config.NewPublisher(log, readOnce).Load(context.Background())
+// resolveUndecided extends undecided sets until now, as they may have taken effect at any
+// time, and sets the versions that they produced.
+func resolveUndecided(g Gomega, log *logfake.Log, events []porcupine.Operation, start time.Time) {
+	_, results, err := config.NewPublisher(log, readOnce).Load(context.Background())
 	g.Expect(err).NotTo(HaveOccurred())
-	made := map[int64]uint64{}
-	for _, v := range verdicts {
+	produced := map[int64]uint64{}
+	for _, v := range results {
 		if v.Outcome == config.Accepted {
-			made[v.Change.Set[0].Value] = v.State.Version
+			produced[v.Change.Set[0].Value] = v.State.Version
 		}
 	}
 	for i := range events {
-		if out := events[i].Output.(result); out.unknown {
-			events[i].Return = time.Since(began).Nanoseconds()
-			events[i].Output = result{unknown: true, version: made[events[i].Input.(call).value]}
+		if out := events[i].Output.(result); out.undecided {
+			events[i].Return = time.Since(start).Nanoseconds()
+			events[i].Output = result{undecided: true, version: produced[events[i].Input.(call).value]}
 		}
 	}
 }
--- a/internal/config/link.go
+++ b/internal/config/link.go
@@ -5,93 +5,96 @@
 	"time"
 )
 
-// MaxFanOutDelay is over how long an entry spreads the updates to its agents. An
-// agent is connected to several entries that all hear of a change at about the
-// same time; waiting a while, each at random, lets most of them see that another
-// was first. It also spreads the bytes. The letter allows 13 s in all.
+// MaxFanOutDelay is the maximum of the random delay before an entry sends an update to an
+// agent. An agent is connected to several entries that read a change at about the same
+// time; with random delays, most of them see that the agent already has it. The delays
+// also spread the traffic. A change may take 13 s in all to be in force everywhere.
 const MaxFanOutDelay = 6 * time.Second
 
-// behindGrace is how long agents leave an entry that has some configuration to
-// read the log by itself. Without it, the agents that hear of a change from a
-// faster entry would all tell the slower ones, in every change.
-const behindGrace = 4 * time.Second
+// logReadGrace is how long an agent lets an entry that has some configuration read the log
+// itself. Otherwise, on every change, all agents that were updated by a faster entry would
+// send it to the slower ones.
+const logReadGrace = 4 * time.Second
 
-// agentSpread is over how long agents spread what they tell an entry that has just
-// started in an outage. The first of its 760 agents to do so makes most of the
-// others see, a heartbeat later, that it is told.
-const agentSpread = time.Second
+// maxAgentDelay is the maximum of the random delay before an agent sends an update to an
+// entry, such as one that has started while the log is unavailable. Once the first of its
+// 760 agents has sent it, most others see in the next heartbeat that the entry has it.
+const maxAgentDelay = time.Second
 
-// Link decides what one end of a connection tells the other about configuration,
-// on frames that are sent anyway. It belongs to the goroutine of the control
-// state. A new connection gets a new Link.
+// Link decides which positions and updates one end of a connection sends to the other, on
+// frames that are sent anyway. Each connection has its own Link. A Link is not safe for
+// concurrent use.
 type Link struct {
-	holder *Replica
-	rng    *rand.Rand
-	spread time.Duration
-	agent  bool
-	known  bool
-	peer   uint64 // the peer's mark
-	told   uint64 // the mark of the last update sent
-	behind bool
-	due    time.Time
+	replica      *Replica
+	rng          *rand.Rand
+	maxDelay     time.Duration
+	atAgent      bool
+	peerKnown    bool
+	peerPosition uint64 // last position received
+	sentPosition uint64 // position of the last update sent
+	peerBehind   bool
+	updateDue    time.Time
 }
 
-// NewEntryLink returns an entry's end of a new connection to an agent.
-func NewEntryLink(h *Replica, rng *rand.Rand) *Link {
-	return &Link{holder: h, rng: rng, spread: MaxFanOutDelay}
+// NewEntryLink returns the entry's end of a new connection to an agent.
+func NewEntryLink(r *Replica, rng *rand.Rand) *Link {
+	return &Link{replica: r, rng: rng, maxDelay: MaxFanOutDelay}
 }
 
-// NewAgentLink returns an agent's end of a new connection to an entry. An agent
-// counts itself current while an entry that read the log lately holds the same. An
-// entry hears that from the log alone: else all of them would vouch for each other
-// through an outage, and none would say how old its configuration is.
-func NewAgentLink(h *Replica, rng *rand.Rand) *Link {
-	return &Link{holder: h, rng: rng, spread: agentSpread, agent: true}
+// NewAgentLink returns the agent's end of a new connection to an entry. An agent considers
+// its configuration current when an entry that has read the log recently sends the same
+// position. An entry relies on the log alone: otherwise processes would confirm each
+// other's configuration during an outage, and none would report its age.
+func NewAgentLink(r *Replica, rng *rand.Rand) *Link {
+	return &Link{replica: r, rng: rng, maxDelay: maxAgentDelay, atAgent: true}
 }
 
-// vouches reports whether this end may say that its configuration is current.
-func (l *Link) vouches() bool { return !l.agent && l.holder.Age() < vouchWithin }
+// confirmsCurrent reports whether this end may confirm to the peer that its position is
+// current.
+func (l *Link) confirmsCurrent() bool { return !l.atAgent && l.replica.Age() < maxConfirmAge }
 
-// Receive takes the mark and the update, if any, of a frame that arrived. The error
-// is a *CodecError or a *FormatError: the update was not used.
-func (l *Link) Receive(mark uint64, update []byte) error {
-	l.peer, l.known = mark, true
+// Receive handles the peer's position and the update, if any, of a received frame. If it
+// returns an error, which is a *CodecError or a *FormatError, the update was not applied.
+func (l *Link) Receive(position uint64, update []byte) error {
+	l.peerPosition, l.peerKnown = position, true
 	var err error
 	if len(update) > 0 {
-		err = l.holder.ApplyUpdate(update)
+		err = l.replica.ApplyUpdate(update)
 	}
-	if l.agent && mark == l.holder.Position() {
-		l.holder.MarkCurrent()
+	if l.atAgent && position == l.replica.Position() {
+		l.replica.MarkCurrent()
 	}
 	return err
 }
 
-// PrepareFrame returns the mark and the update, if one is due, for a frame about to be sent.
-func (l *Link) PrepareFrame(now time.Time) (mark uint64, update []byte) {
-	mark = l.holder.Position()
-	if !l.known || l.peer >= mark || l.told >= mark {
-		l.behind = false
-		return mark, nil
+// PrepareFrame returns the position for the next frame, and an encoded update if one is due
+// and nil otherwise.
+func (l *Link) PrepareFrame(now time.Time) (position uint64, update []byte) {
+	position = l.replica.Position()
+	if !l.peerKnown || l.peerPosition >= position || l.sentPosition >= position {
+		l.peerBehind = false
+		return position, nil
 	}
-	if !l.behind {
-		l.behind = true
-		l.due = now.Add(l.delay())
+	if !l.peerBehind {
+		l.peerBehind = true
+		l.updateDue = now.Add(l.delay())
 	}
-	if now.Before(l.due) {
-		return mark, nil
+	if now.Before(l.updateDue) {
+		return position, nil
 	}
-	b, err := l.holder.EncodeUpdate(l.peer)
+	b, err := l.replica.EncodeUpdate(l.peerPosition)
 	if err != nil {
-		return mark, nil // a state that can't be encoded is one the peer can't have either
+		return position, nil // no process can have received a state that can't be encoded
 	}
-	l.told, l.behind = mark, false
-	return mark, b
+	l.sentPosition, l.peerBehind = position, false
+	return position, b
 }
 
+// delay returns the random delay before an update is sent.
 func (l *Link) delay() time.Duration {
-	d := time.Duration(l.rng.Int64N(int64(l.spread)))
-	if l.agent && l.peer > 0 {
-		d += behindGrace
+	d := time.Duration(l.rng.Int64N(int64(l.maxDelay)))
+	if l.atAgent && l.peerPosition > 0 {
+		d += logReadGrace
 	}
 	return d
 }
--- a/internal/config/processes_test.go
+++ b/internal/config/processes_test.go
@@ -25,7 +25,7 @@
 	"github.com/camphorrack/camphorrack/platform/store"
 )
 
-// buildDaemons builds the programs that the test runs as processes.
+// buildDaemons builds the programs that the test runs and returns their folder.
 func buildDaemons() string {
 	bin := GinkgoT().TempDir()
 	out, err := exec.Command("go", "build", "-o", bin+"/", "../../apps/camphorrack-entry", "../../apps/camphorrack-agent", "../../apps/camphorrack-standin-log", "../../apps/camphorrack-standin-target").CombinedOutput()
@@ -33,79 +33,81 @@
 	return bin
 }
 
-// fleetWithLog starts the stand-in of the log in a fleet that ends with the test.
+// fleetWithLog returns a fleet in which the stand-in for the platform's log runs. It is
+// closed at the end of the spec.
 func fleetWithLog(ctx context.Context, flags ...string) (f *localfleet.Fleet, logURL string) {
 	f = localfleet.New(localfleet.Options{BinDir: buildDaemons(), Key: "a key that only this test knows"})
 	DeferCleanup(f.Close)
-	DeferCleanup(showTails, f) // before the fleet is closed
-	DeferCleanup(showLosses, tcpCounters())
-	watchOwnStalls(ctx)
+	DeferCleanup(reportLogTails, f) // before the fleet is closed
+	DeferCleanup(reportTCPLosses, tcpCounters())
+	reportOwnStalls(ctx)
 	log, err := f.StartLog(ctx, flags...)
 	Expect(err).NotTo(HaveOccurred())
 	return f, "http://" + log.Addr
 }
 
-// stallReport is how long a process that stood still may take to go on and say so.
-const stallReport = 2 * time.Second
+// stallReportDelay is how long a process that stalled may take to resume and log the stall.
+const stallReportDelay = 2 * time.Second
 
-// watchOwnStalls adds to the report when this process stood still: a call that it gave
-// up then was not late for the daemon's sake.
-func watchOwnStalls(ctx context.Context) {
+// reportOwnStalls adds stalls of this process to the report: a call that timed out during
+// one was not delayed by the daemon.
+func reportOwnStalls(ctx context.Context) {
 	stall := clock.NewStallDetector(clock.StallThreshold)
 	go func() {
 		for ctx.Err() == nil {
 			clock.Sleep(ctx, clock.StallThreshold/8)
 			if gap := stall.Check(); gap > 0 {
-				AddReportEntry("the test stood still", gap.String(), ReportEntryVisibilityFailureOrVerbose)
+				AddReportEntry("the test process stalled", gap.String(), ReportEntryVisibilityFailureOrVerbose)
 			}
 		}
 	}()
 }
 
-// lossCounters are the host's counters of what TCP lost or could not take in.
-var lossCounters = []string{"RetransSegs", "TCPTimeouts", "TCPSynRetrans", "ListenOverflows", "ListenDrops", "TCPBacklogDrop"}
+// tcpLossCounters are the host's TCP counters of lost segments and rejected connections.
+var tcpLossCounters = []string{"RetransSegs", "TCPTimeouts", "TCPSynRetrans", "ListenOverflows", "ListenDrops", "TCPBacklogDrop"}
 
-// tcpCounters reads the host's counters of TCP by name.
+// tcpCounters returns the host's TCP counters by name.
 func tcpCounters() map[string]int64 {
 	counters := map[string]int64{}
 	for _, file := range []string{"/proc/net/snmp", "/proc/net/netstat"} {
 		text, err := os.ReadFile(file)
 		Expect(err).NotTo(HaveOccurred())
 		lines := strings.Split(string(text), "\n")
-		for i := 0; i+1 < len(lines); i += 2 { // names, then values
+		for i := 0; i+1 < len(lines); i += 2 { // a line of names is followed by one of values
 			values := strings.Fields(lines[i+1])
 			for j, name := range strings.Fields(lines[i]) {
-				counters[name], _ = strconv.ParseInt(values[j], 10, 64) // the first is the protocol's name
+				counters[name], _ = strconv.ParseInt(values[j], 10, 64) // the first field is the protocol's name
 			}
 		}
 	}
 	return counters
 }
 
-// showLosses adds to the report of a test that failed what TCP lost on the host meanwhile:
-// a lost segment or connection request is sent again after 0.2 to 1 s.
-func showLosses(before map[string]int64) {
+// reportTCPLosses adds the host's TCP losses during a failed spec to its report: a lost
+// segment or connection request is sent again only after 0.2 to 1 s.
+func reportTCPLosses(before map[string]int64) {
 	if !CurrentSpecReport().Failed() {
 		return
 	}
 	after := tcpCounters()
-	for _, name := range lossCounters {
+	for _, name := range tcpLossCounters {
 		AddReportEntry(name, after[name]-before[name])
 	}
 }
 
-// showTails adds the last log lines of each process to the report of a test that failed.
-func showTails(f *localfleet.Fleet) {
+// reportLogTails adds the last log lines of each process to the report of a failed spec.
+func reportLogTails(f *localfleet.Fleet) {
 	if !CurrentSpecReport().Failed() {
 		return
 	}
-	time.Sleep(stallReport)
+	time.Sleep(stallReportDelay)
 	for _, p := range f.Processes() {
 		AddReportEntry(p.Name, strings.Join(p.LogTail(), "\n"))
 	}
 }
 
-func control(logURL string, mode standin.StoreMode) {
+// setLogMode sets the mode of the log's stand-in, such as rejecting all requests.
+func setLogMode(logURL string, mode standin.StoreMode) {
 	body, err := json.Marshal(standin.StoreControl{Mode: mode})
 	Expect(err).NotTo(HaveOccurred())
 	res, err := http.Post(logURL+"/control", "application/json", bytes.NewReader(body))
@@ -114,7 +116,8 @@
 	Expect(res.StatusCode).To(Equal(http.StatusOK))
 }
 
-func boundsOf(logURL string) standin.TopicBounds {
+// streamBounds returns the lowest and the next offset of the configuration's stream.
+func streamBounds(logURL string) standin.TopicBounds {
 	res, err := http.Get(logURL + "/status")
 	Expect(err).NotTo(HaveOccurred())
 	defer res.Body.Close()
@@ -131,7 +134,7 @@
 	return s
 }
 
-// submit has a job of a few tasks done and returns how it ended.
+// submit submits a job of three tasks to an entry and returns the state in its answer.
 func submit(ctx context.Context, entry string) job.State {
 	c, err := client.New(client.Options{Entries: []string{entry}, CallTimeout: time.Second})
 	Expect(err).NotTo(HaveOccurred())
@@ -149,9 +152,9 @@
 }
 
 var _ = Describe("real processes", func() {
-	const patience = 60 * time.Second
+	const timeout = 60 * time.Second
 
-	// twoEntriesWithAChange starts two entries, of which the second names the first, and
+	// twoEntriesWithAChange starts two entries, the second with the address of the first, and
 	// waits until a change is in force on both.
 	twoEntriesWithAChange := func(ctx context.Context) (f *localfleet.Fleet, logURL string, first, second *localfleet.Process, version uint64) {
 		f, logURL = fleetWithLog(ctx)
@@ -162,21 +165,21 @@
 		published, err := config.NewPublisher(store.New(logURL), 0).Publish(ctx, setQuota(0, "a", 7))
 		Expect(err).NotTo(HaveOccurred())
 		for _, p := range []*localfleet.Process{first, second} {
-			Eventually(versionAt(p)).WithTimeout(patience).Should(Equal(published.Version))
+			Eventually(versionAt(p)).WithTimeout(timeout).Should(Equal(published.Version))
 		}
 		return f, logURL, first, second, published.Version
 	}
 
-	// The platform's log is down for longer than it keeps records, and when it is
-	// back it is empty. An entry is replaced meanwhile. If the fleet fell back to
-	// its defaults, drained targets would get work again and quotas would be gone;
-	// if nobody wrote down what is in force, operators could change nothing.
-	It("keep the configuration through an outage that outlives the log's records", func(ctx context.Context) {
+	// The platform's log is unavailable for longer than it keeps records and is empty when
+	// it recovers. An entry is replaced meanwhile. If the fleet returned to its defaults,
+	// drained targets would get work again and quotas would no longer apply. If no entry
+	// wrote a snapshot of the state in force, operators could not change anything.
+	It("keep the configuration through an outage in which the log drops all records", func(ctx context.Context) {
 		f, logURL := fleetWithLog(ctx, "-retention", "3s")
-		follow := []string{"-log", logURL, "-snapshot-every", "1s"}
-		first, err := f.StartEntry(ctx, "entry-1", "", nil, follow...)
+		flags := []string{"-log", logURL, "-snapshot-every", "1s"}
+		first, err := f.StartEntry(ctx, "entry-1", "", nil, flags...)
 		Expect(err).NotTo(HaveOccurred())
-		second, err := f.StartEntry(ctx, "entry-2", "", nil, follow...)
+		second, err := f.StartEntry(ctx, "entry-2", "", nil, flags...)
 		Expect(err).NotTo(HaveOccurred())
 		agent, err := f.StartAgent(ctx, "worker-1", "", []string{first.Addr, second.Addr})
 		Expect(err).NotTo(HaveOccurred())
@@ -184,97 +187,97 @@
 		_, err = f.StartTarget(ctx, localfleet.TargetOptions{Name: "t1", Agent: agent.Addr, Slots: 2, Speed: 1})
 		Expect(err).NotTo(HaveOccurred())
 
-		ops := config.NewPublisher(store.New(logURL), 0)
-		before, err := ops.Publish(ctx, setQuota(0, "a", 7))
+		publisher := config.NewPublisher(store.New(logURL), 0)
+		before, err := publisher.Publish(ctx, setQuota(0, "a", 7))
 		Expect(err).NotTo(HaveOccurred())
-		c, err := client.New(client.Options{Entries: []string{second.Addr}, CallTimeout: patience})
+		c, err := client.New(client.Options{Entries: []string{second.Addr}, CallTimeout: timeout})
 		Expect(err).NotTo(HaveOccurred())
-		told, err := c.RefreshConfig(ctx, before.Version)
+		refreshed, err := c.RefreshConfig(ctx, before.Version)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(told.Version).To(Equal(before.Version), "by the time the operator is told")
+		Expect(refreshed.Version).To(Equal(before.Version), "when the operator gets the reply")
 		for _, p := range []*localfleet.Process{first, second, agent} {
-			Eventually(versionAt(p)).WithTimeout(patience).Should(Equal(before.Version))
+			Eventually(versionAt(p)).WithTimeout(timeout).Should(Equal(before.Version))
 		}
 
-		// A record that no living process has read is lost with the log. Here the
-		// entry that lives on has read all of them.
+		// A record that no running process has read is lost with the log. So wait until
+		// the entry that keeps running has read all of them.
 		Eventually(func() bool {
-			control(logURL, standin.StoreUnavailable)
-			if stateAt(second).AsOf == boundsOf(logURL).EndOffset {
+			setLogMode(logURL, standin.StoreUnavailable)
+			if stateAt(second).AsOf == streamBounds(logURL).EndOffset {
 				return true
 			}
-			control(logURL, standin.StoreNormal)
+			setLogMode(logURL, standin.StoreNormal)
 			return false
-		}).WithPolling(time.Second).WithTimeout(patience).Should(BeTrue())
-		_, err = ops.Publish(ctx, setQuota(before.Version, "a", 8))
+		}).WithPolling(time.Second).WithTimeout(timeout).Should(BeTrue())
+		_, err = publisher.Publish(ctx, setQuota(before.Version, "a", 8))
 		Expect(codeOf(err)).To(Equal(fault.ConfigNotTaken))
-		Eventually(func() bool { b := boundsOf(logURL); return b.FirstOffset == b.EndOffset }).WithTimeout(patience).Should(BeTrue())
+		Eventually(func() bool { b := streamBounds(logURL); return b.FirstOffset == b.EndOffset }).WithTimeout(timeout).Should(BeTrue())
 		first.Kill()
-		first, err = f.StartEntry(ctx, "entry-1 again", first.Addr, nil, follow...)
+		first, err = f.StartEntry(ctx, "entry-1 again", first.Addr, nil, flags...)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(versionAt(first)).WithTimeout(patience).Should(Equal(before.Version), "from its agents")
+		Eventually(versionAt(first)).WithTimeout(timeout).Should(Equal(before.Version), "from its agents")
 
 		Expect(submit(ctx, first.Addr)).To(Equal(job.Complete), "work goes on")
 		Expect(submit(ctx, second.Addr)).To(Equal(job.Complete), "work goes on")
 
-		control(logURL, standin.StoreNormal)
+		setLogMode(logURL, standin.StoreNormal)
 		var after *config.State
 		Eventually(func() error {
-			after, err = ops.Publish(ctx, setQuota(before.Version, "a", 9))
+			after, err = publisher.Publish(ctx, setQuota(before.Version, "a", 9))
 			return err
-		}).WithTimeout(patience).Should(Succeed())
+		}).WithTimeout(timeout).Should(Succeed())
 		for _, p := range []*localfleet.Process{first, second, agent} {
-			Eventually(versionAt(p)).WithTimeout(patience).Should(Equal(after.Version))
+			Eventually(versionAt(p)).WithTimeout(timeout).Should(Equal(after.Version))
 		}
 	})
 
-	// One entry reads a change just before the log goes down, and is killed. The others
-	// had not read it: were it not told to one of them at once, its successor would
-	// enforce the limit that an operator had just changed.
-	It("tell another entry of a change as soon as the log brings it", func(ctx context.Context) {
+	// One entry reads a change just before the log becomes unavailable, and is killed. The
+	// others have not read it. If it had not sent the change to one of them at once, its
+	// successor would enforce the limit that an operator had just changed.
+	It("send a change to another entry as soon as it is read from the log", func(ctx context.Context) {
 		f, logURL := fleetWithLog(ctx)
-		without, err := f.StartEntry(ctx, "entry-1", "", nil)
+		withoutLog, err := f.StartEntry(ctx, "entry-1", "", nil)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = f.StartEntry(ctx, "entry-2", "", []string{without.Addr}, "-log", logURL)
+		_, err = f.StartEntry(ctx, "entry-2", "", []string{withoutLog.Addr}, "-log", logURL)
 		Expect(err).NotTo(HaveOccurred())
 		for base := range uint64(2) {
 			published, err := config.NewPublisher(store.New(logURL), 0).Publish(ctx, setQuota(base, "a", 7))
 			Expect(err).NotTo(HaveOccurred())
-			Eventually(versionAt(without)).WithTimeout(patience).Should(Equal(published.Version))
+			Eventually(versionAt(withoutLog)).WithTimeout(timeout).Should(Equal(published.Version))
 		}
 	})
 
-	// Guards against a change that is lost with the one entry that read it, because that
-	// one was started before the others and names none of them.
-	It("tell an entry that they don't name of a change as soon as the log brings it", func(ctx context.Context) {
+	// A change must not be lost with the one entry that read it, because that one was
+	// started before the others and without their addresses.
+	It("send a change to an entry whose address they were not given, as soon as it is read from the log", func(ctx context.Context) {
 		f, logURL := fleetWithLog(ctx)
 		first, err := f.StartEntry(ctx, "entry-1", "", nil, "-log", logURL)
 		Expect(err).NotTo(HaveOccurred())
-		without, err := f.StartEntry(ctx, "entry-2", "", []string{first.Addr})
+		withoutLog, err := f.StartEntry(ctx, "entry-2", "", []string{first.Addr})
 		Expect(err).NotTo(HaveOccurred())
 		published, err := config.NewPublisher(store.New(logURL), 0).Publish(ctx, setQuota(0, "a", 7))
 		Expect(err).NotTo(HaveOccurred())
-		const beforeItAsksItself = 20 * time.Second
-		Eventually(versionAt(without)).WithTimeout(beforeItAsksItself).Should(Equal(published.Version))
+		const beforeOwnRequest = 20 * time.Second // the entry requests the configuration itself only later
+		Eventually(versionAt(withoutLog)).WithTimeout(beforeOwnRequest).Should(Equal(published.Version))
 	})
 
-	// The log can't be read when an entry is replaced, and no agent has heard of the
-	// newest change yet. A task of a target that an operator had just drained would be
-	// placed there again: callers would see the limit come and go.
+	// The log can't be read when an entry is replaced, and no agent has received the newest
+	// change yet. Tasks would be placed again on a target that an operator has just drained,
+	// and limits would differ from one call to the next.
 	It("start with the newest configuration that another entry has", func(ctx context.Context) {
 		f, logURL, first, second, published := twoEntriesWithAChange(ctx)
-		control(logURL, standin.StoreUnavailable)
+		setLogMode(logURL, standin.StoreUnavailable)
 		second.Kill()
 		second, err := f.StartEntry(ctx, "entry-2 again", second.Addr, []string{first.Addr}, "-log", logURL)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(versionAt(second)()).To(Equal(published), "in the first answer")
 	})
 
-	// Guards against a restarted entry that enforces an older configuration than its
-	// predecessor did, because those that it asked stood still for a moment.
-	It("start with the newest configuration that another entry has, which stands still", func(ctx context.Context) {
+	// A restarted entry must not enforce an older configuration than its predecessor
+	// because the entries that it requests it from are stalled for a moment.
+	It("start with the newest configuration that another entry has, while that one is stalled", func(ctx context.Context) {
 		f, logURL, first, second, published := twoEntriesWithAChange(ctx)
-		control(logURL, standin.StoreUnavailable)
+		setLogMode(logURL, standin.StoreUnavailable)
 		second.Kill()
 		first.Pause()
 		time.AfterFunc(2*time.Second, first.Resume)
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -13,19 +13,19 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// readBackEvery is the pause between two reads while a change is looked for in
-// the log: short against a person's patience, long against a write of some ms.
-const readBackEvery = 50 * time.Millisecond
+// readBackInterval is the interval between reads that look for an appended record. It is
+// short for an operator who waits, and long compared to a write of a few milliseconds.
+const readBackInterval = 50 * time.Millisecond
 
-// DefaultReadBackTimeout is how long Publish looks for a change in the log before it says
-// that the outcome is undecided.
+// DefaultReadBackTimeout is how long Publish looks for its change in the log before it
+// reports that the outcome is undecided.
 const DefaultReadBackTimeout = 5 * time.Second
 
-// ConflictError says which change won. It unwraps to a *fault.Fault of code
-// ConfigConflict.
+// ConflictError reports that a change is void because another one took effect first. It
+// unwraps to a *fault.Fault of code ConfigConflict.
 type ConflictError struct {
-	Base    uint64
-	Current *State // what is in force; nil where it can't be known any more
+	Base    uint64 // version that the change was based on
+	Current *State // state after the change, or the current one
 	fault   *fault.Fault
 }
 
@@ -35,27 +35,27 @@
 // Unwrap returns the fault.
 func (e *ConflictError) Unwrap() error { return e.fault }
 
-func conflict(base uint64, current *State) *ConflictError {
+func newConflictError(base uint64, current *State) *ConflictError {
 	detail := fmt.Sprintf("the change was based on version %d, and version %d by %q (%s) is in force; nothing of yours was applied",
 		base, current.Version, current.Author, current.Reason)
 	return &ConflictError{base, current, fault.New(fault.ConfigConflict, detail)}
 }
 
-// Publisher puts operators' changes on the log. It is safe for concurrent use.
+// Publisher appends operators' changes to the log. It is safe for concurrent use.
 type Publisher struct {
-	log  platformlog.Log
-	wait time.Duration
+	log             platformlog.Log
+	readBackTimeout time.Duration
 }
 
-// NewPublisher returns a publisher; a wait of 0 means DefaultWait.
-func NewPublisher(log platformlog.Log, wait time.Duration) *Publisher {
-	if wait == 0 {
-		wait = DefaultReadBackTimeout
+// NewPublisher returns a publisher. A readBackTimeout of 0 means DefaultReadBackTimeout.
+func NewPublisher(log platformlog.Log, readBackTimeout time.Duration) *Publisher {
+	if readBackTimeout == 0 {
+		readBackTimeout = DefaultReadBackTimeout
 	}
-	return &Publisher{log, wait}
+	return &Publisher{log, readBackTimeout}
 }
 
-// NewChangeID draws the id of a change.
+// NewChangeID returns a random id for a change or restart.
 func NewChangeID() string {
 	var b [8]byte
 	// crypto/rand.Read never fails on the supported systems.
@@ -63,32 +63,34 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Load reads the log to its end and returns the fold there, with a verdict for
-// each change that is still kept. The error is a *fault.Fault: ConfigNotTaken
-// where the log does not answer, or where it no longer says what is in force.
+// Load reads the log to its end and returns the resulting fold, with a result for each
+// change that the log still keeps. The error is a *fault.Fault of code ConfigNotTaken: the
+// log could not be read, or it no longer determines the state in force. In the latter case
+// the fold and the results are returned as well.
 func (p *Publisher) Load(ctx context.Context) (*Fold, []Result, error) {
 	f := NewFold(&State{})
-	verdicts, err := ReadToEnd(ctx, p.log, f)
+	results, err := ReadToEnd(ctx, p.log, f)
 	if err != nil {
-		return nil, nil, notTaken(err)
+		return nil, nil, notTakenFault(err)
 	}
 	if !f.Contiguous() {
-		return f, verdicts, fault.New(fault.ConfigNotTaken,
+		return f, results, fault.New(fault.ConfigNotTaken,
 			"the log no longer holds a snapshot to start from; wait for an entry to write one, or see the operators' page on restarting the configuration")
 	}
-	return f, verdicts, nil
+	return f, results, nil
 }
 
-func notTaken(cause error) error {
+func notTakenFault(cause error) error {
 	return fault.Newf(fault.ConfigNotTaken, "nothing was accepted: %v", cause)
 }
 
-// Publish checks a change against what is in force, appends it and returns the
-// state it made, read back from the log. The change gets an id where it has none.
+// Publish validates a change against the state in force, appends it, reads the log until
+// the change appears, and returns the state that it produced. A change without an id is
+// given one.
 //
-// Errors: a *fault.Fault of code ConfigInvalid (refused, nothing appended),
-// ConfigNotTaken (the log is down, nothing appended) or ConfigUndecided (appended
-// perhaps; ask with Resolve), or a *ConflictError.
+// The error is a *ConflictError or a *fault.Fault of code ConfigInvalid (nothing was
+// appended, or the change is void), ConfigNotTaken (the log is unavailable; nothing was
+// appended) or ConfigUndecided (the change may have been appended; use Resolve).
 func (p *Publisher) Publish(ctx context.Context, c *Change) (*State, error) {
 	if c.ID == "" {
 		c.ID = NewChangeID()
@@ -98,7 +100,7 @@
 		return nil, err
 	}
 	if c.Base != f.State().Version {
-		return nil, conflict(c.Base, f.State())
+		return nil, newConflictError(c.Base, f.State())
 	}
 	if err := c.Validate(f.State()); err != nil {
 		return nil, err
@@ -106,9 +108,9 @@
 	return p.append(ctx, f, c.ID, c.Base, &Record{Change: c})
 }
 
-// append writes the record once and reads it back. A lost answer is resolved by
-// reading, and the record is never appended again: the first may still land, and
-// an operator who was told "not accepted" would find it in force later.
+// append appends the record once and reads it back. If the reply to the append is lost,
+// the outcome is determined by reading. The append is never retried: the first record may
+// still be written, and a change that was reported as not accepted would take effect later.
 func (p *Publisher) append(ctx context.Context, f *Fold, id string, base uint64, r *Record) (*State, error) {
 	data, err := EncodeRecord(r)
 	if err != nil {
@@ -117,34 +119,35 @@
 	_, err = p.log.Append(ctx, Stream, data)
 	var undecided *platformlog.UndecidedError
 	if err != nil && !errors.As(err, &undecided) {
-		return nil, notTaken(err)
+		return nil, notTakenFault(err)
 	}
 	return p.readBack(ctx, f, id, base)
 }
 
-// readBack looks for the record until it is found or the wait is over, and reads
-// at least once.
+// readBack reads the log until the record is found or readBackTimeout has passed, at least
+// once.
 func (p *Publisher) readBack(ctx context.Context, f *Fold, id string, base uint64) (*State, error) {
-	deadline := time.Now().Add(p.wait)
-	last := "it has not appeared in the log"
+	deadline := time.Now().Add(p.readBackTimeout)
+	cause := "it has not appeared in the log"
 	for {
 		b, err := Read(ctx, p.log, f)
-		if state, err, found := find(b.Results, id, base); found {
+		if state, err, found := findResult(b.Results, id, base); found {
 			return state, err
 		}
 		if err != nil {
-			last = err.Error()
+			cause = err.Error()
 		}
 		if b.More && err == nil {
 			continue
 		}
 		if !pause(ctx, deadline) {
-			return nil, undecidedFault(id, base, last)
+			return nil, undecidedFault(id, base, cause)
 		}
 	}
 }
 
-// pause waits a while and reports whether there is time left.
+// pause waits for readBackInterval. It returns false if the deadline had passed already or
+// the context ended.
 func pause(ctx context.Context, deadline time.Time) bool {
 	if time.Until(deadline) <= 0 {
 		return false
@@ -152,14 +155,16 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(readBackEvery):
+	case <-time.After(readBackInterval):
 		return true
 	}
 }
 
-func find(verdicts []Result, id string, base uint64) (*State, error, bool) {
-	for i := range verdicts {
-		v := &verdicts[i]
+// findResult looks for the change or restart with an id and reports whether its outcome is
+// known. It returns the state that it produced, or the error that Publish reports.
+func findResult(results []Result, id string, base uint64) (*State, error, bool) {
+	for i := range results {
+		v := &results[i]
 		if v.ID() != id {
 			continue
 		}
@@ -171,13 +176,13 @@
 		case Undetermined:
 			continue
 		}
-		return nil, conflict(base, v.State), true
+		return nil, newConflictError(base, v.State), true
 	}
 	return nil, nil, false
 }
 
-func undecidedFault(id string, base uint64, why string) *fault.Fault {
+func undecidedFault(id string, base uint64, cause string) *fault.Fault {
 	return fault.Newf(fault.ConfigUndecided,
 		"change %s on version %d may or may not be accepted (%s); ask with: camphorctl config resolve -change %s -base %d",
-		id, base, why, id, base)
+		id, base, cause, id, base)
 }
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -8,17 +8,19 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// Batch is what one read of the log brought.
+// Batch is the result of one read of the log.
 type Batch struct {
 	From      uint64
 	Records   []platformlog.Record
 	Results   []Result
-	More      bool // the end of the log was not reached
-	Truncated bool // records that the fold had not seen were dropped
+	More      bool // the end of the log has not been reached yet
+	Truncated bool // the log has dropped records that the fold had not seen
 }
 
-// Read does one bounded read of the log and folds it. The error is one of the
-// log's, or a *FormatError.
+// Read does one read of the log, of a size that the log limits, and applies the records
+// to the fold. If the log has dropped records that come next, the fold continues at the
+// lowest one kept, and Truncated is set. The error is one of the log's, or a
+// *FormatError.
 func Read(ctx context.Context, log platformlog.Log, f *Fold) (Batch, error) {
 	from := f.NextOffset()
 	records, next, err := log.Read(ctx, Stream, from, 0)
@@ -30,11 +32,12 @@
 	if err != nil {
 		return Batch{From: from}, err
 	}
-	verdicts, err := f.Apply(from, records, next)
-	return Batch{From: from, Records: records, Results: verdicts, More: len(records) > 0}, err
+	results, err := f.Apply(from, records, next)
+	return Batch{From: from, Records: records, Results: results, More: len(records) > 0}, err
 }
 
-// ReadToEnd folds the log up to its end and returns every verdict.
+// ReadToEnd reads the log to its end, applies the records to the fold and returns all
+// results. The error is as for Read.
 func ReadToEnd(ctx context.Context, log platformlog.Log, f *Fold) ([]Result, error) {
 	var all []Result
 	for {
--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -6,23 +6,24 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// Resolution says what became of a change.
+// Resolution describes a change that was accepted.
 type Resolution struct {
-	Version uint64 // the version it made
-	Current *State // what is in force now
+	Version uint64 // version that the change produced
+	Current *State // state in force now
 }
 
-// Resolve tells what became of a change whose outcome was undecided, by reading
-// only. Errors: a *ConflictError where it is void for good, or a *fault.Fault:
-// ConfigUndecided where it has not been seen and may still come or where the log
-// no longer holds enough to tell, ConfigNotTaken where the log can't be read.
+// Resolve determines the outcome of a change that Publish reported as undecided. It only
+// reads the log. The error is a *ConflictError if the change is void, or a *fault.Fault:
+// ConfigInvalid if the change is void because it is malformed, ConfigUndecided if the
+// change is not in the log and may still be written, or if the log no longer keeps enough
+// records, and ConfigNotTaken as for Load.
 func (p *Publisher) Resolve(ctx context.Context, id string, base uint64) (*Resolution, error) {
-	f, verdicts, err := p.Load(ctx)
+	f, results, err := p.Load(ctx)
 	if err != nil {
 		return nil, err
 	}
 	current := f.State()
-	if state, err, found := find(verdicts, id, base); found {
+	if state, err, found := findResult(results, id, base); found {
 		if err != nil {
 			return nil, err
 		}
@@ -33,19 +34,19 @@
 		return &Resolution{current.Version, current}, nil
 	case current.Version == base:
 		return nil, undecidedFault(id, base, "it has not appeared in the log; publishing it anew on the same version is safe, one of the two at most is accepted")
-	case f.lowest > base:
+	case f.lowestKept > base:
 		return nil, fault.Newf(fault.ConfigUndecided,
 			"the log no longer holds what followed on version %d; compare with what is in force: camphorctl config get", base)
 	}
-	return resolveUnjudged(verdicts, id, base, current)
+	return resolveUndetermined(results, id, base, current)
 }
 
-// resolveUnjudged decides about a change that lies before the first snapshot that
-// is kept. Every record since the base version is there, and the first change on
+// resolveUndetermined determines the outcome of a change that precedes the first snapshot
+// kept. The log has every record since the base version, so the first change based on
 // that version is the one that was accepted.
-func resolveUnjudged(verdicts []Result, id string, base uint64, current *State) (*Resolution, error) {
-	for i := range verdicts {
-		v := &verdicts[i]
+func resolveUndetermined(results []Result, id string, base uint64, current *State) (*Resolution, error) {
+	for i := range results {
+		v := &results[i]
 		if v.Outcome != Undetermined || v.Offset < base {
 			continue
 		}
@@ -61,5 +62,5 @@
 		}
 		break
 	}
-	return nil, conflict(base, current)
+	return nil, newConflictError(base, current)
 }
--- a/internal/config/schedule_test.go
+++ b/internal/config/schedule_test.go
@@ -26,35 +26,36 @@
 	entries = 3
 	agents  = 2
 	teams   = 4
-	checks  = "1500" // with the library's default of 100, rare orders are left out
+	checks  = "1500" // the library's default of 100 misses rare orders of events
 )
 
-func init() { _ = flag.Set("rapid.checks", checks) } // a number; the command line is read later and wins
+func init() { _ = flag.Set("rapid.checks", checks) } // checks is a number; the command line is parsed later and takes precedence
 
-// history is the judge: every record ever written, kept where retention can't
-// reach, and folded by the plainest rule there is.
-type history struct {
-	contents map[uint64]map[string]int64 // team quotas by accepted version
-	ids      map[string]uint64           // version by id of an accepted change
-	written  map[string]bool             // ids of all changes written
-	latest   uint64
-	end      uint64
+// logModel is the reference that processes and operators are checked against. It observes
+// every record before retention can drop it, and applies the simplest possible rule.
+type logModel struct {
+	contents         map[uint64]map[string]int64 // team quotas by accepted version
+	acceptedVersions map[string]uint64           // version by id of an accepted change
+	writtenIDs       map[string]bool             // ids of all changes in the log
+	latest           uint64                      // highest accepted version
+	nextOffset       uint64                      // of the next record to observe
 
-	lastWrite uint64
+	lastWrite uint64 // one more than the offset of the last change or restart
 }
 
-func (h *history) restart(offset uint64, r *config.Restart) {
+func (m *logModel) applyRestart(offset uint64, r *config.Restart) {
 	if r == nil {
 		return
 	}
-	if h.lastWrite <= r.End {
-		h.latest = offset + 1
-		h.contents[h.latest] = quotasOf(r.State)
-		h.ids[r.ID] = h.latest
+	if m.lastWrite <= r.End {
+		m.latest = offset + 1
+		m.contents[m.latest] = quotasOf(r.State)
+		m.acceptedVersions[r.ID] = m.latest
 	}
-	h.lastWrite = offset + 1
+	m.lastWrite = offset + 1
 }
 
+// quotasOf returns the fleet-wide settings by key; the test sets only quotas.
 func quotasOf(s *config.State) map[string]int64 {
 	quotas := map[string]int64{}
 	for _, set := range s.Settings {
@@ -63,84 +64,85 @@
 	return quotas
 }
 
-func (h *history) see(records []platformlog.Record) {
+func (m *logModel) observe(records []platformlog.Record) {
 	for _, raw := range records {
-		h.end = raw.Offset + 1
+		m.nextOffset = raw.Offset + 1
 		r, err := config.DecodeRecord(raw.Data)
 		Expect(err).NotTo(HaveOccurred())
-		h.restart(raw.Offset, r.Restart)
+		m.applyRestart(raw.Offset, r.Restart)
 		if r.Change == nil {
 			continue
 		}
-		h.lastWrite = h.end
-		h.written[r.Change.ID] = true
-		if r.Change.Base != h.latest {
+		m.lastWrite = m.nextOffset
+		m.writtenIDs[r.Change.ID] = true
+		if r.Change.Base != m.latest {
 			continue
 		}
-		content := maps.Clone(h.contents[h.latest])
+		content := maps.Clone(m.contents[m.latest])
 		for _, s := range r.Change.Set {
 			content[string(s.Key)] = s.Value
 		}
-		h.latest = raw.Offset + 1
-		h.contents[h.latest] = content
-		h.ids[r.Change.ID] = h.latest
+		m.latest = raw.Offset + 1
+		m.contents[m.latest] = content
+		m.acceptedVersions[r.Change.ID] = m.latest
 	}
 }
 
-// racingLog lets something happen between an operator's look and the append.
+// racingLog calls beforeAppend once, between an operator's read and append.
 type racingLog struct {
 	platformlog.Log
-	before func()
+	beforeAppend func()
 }
 
 func (l *racingLog) Append(ctx context.Context, stream string, record []byte) (uint64, error) {
-	if l.before != nil {
-		f := l.before
-		l.before = nil
+	if l.beforeAppend != nil {
+		f := l.beforeAppend
+		l.beforeAppend = nil
 		f()
 	}
 	return l.Log.Append(ctx, stream, record)
 }
 
 type process struct {
-	holder   *config.Replica
-	follower *follower.Follower // nil on an agent
-	seen     uint64             // highest version that was in force
+	replica    *config.Replica
+	follower   *follower.Follower // nil on an agent
+	maxVersion uint64             // highest version that was in force
 }
 
 type frame struct {
-	mark   uint64
-	update []byte
+	position uint64
+	update   []byte
 }
 
-// pair is an entry and an agent with a connection; frames may come late or twice.
-type pair struct {
-	atEntry, atAgent *config.Link
-	toEntry, toAgent []frame
+// connection is a connection between an entry and an agent. Its frames may be delivered
+// late or more than once.
+type connection struct {
+	entryLink, agentLink *config.Link
+	toEntry, toAgent     []frame
 }
 
-type asked struct {
+type undecidedChange struct {
 	id   string
 	base uint64
 }
 
 type fleet struct {
-	t         *rapid.T
-	log       *logfake.Log
-	clock     *clock.Fake
-	history   *history
-	entries   []*process
-	agents    []*process
-	pairs     map[[2]int]*pair
-	undecided []asked
-	refused   []string // ids that operators were told were not accepted
-	nextID    int
-	seed      uint64
+	t           *rapid.T
+	log         *logfake.Log
+	clock       *clock.Fake
+	model       *logModel
+	entries     []*process
+	agents      []*process
+	connections map[[2]int]*connection
+	undecided   []undecidedChange
+	rejectedIDs []string // ids of changes that were reported as not accepted
+	nextID      int
+	seed        uint64
 }
 
 func newFleet(t *rapid.T) *fleet {
-	f := &fleet{t: t, log: logfake.New(), clock: clock.NewFake(time.Unix(1000, 0)), pairs: map[[2]int]*pair{},
-		history: &history{contents: map[uint64]map[string]int64{0: {}}, ids: map[string]uint64{}, written: map[string]bool{}}}
+	f := &fleet{t: t, log: logfake.New(), clock: clock.NewFake(time.Unix(1000, 0)), connections: map[[2]int]*connection{},
+		model: &logModel{contents: map[uint64]map[string]int64{0: {}}, acceptedVersions: map[string]uint64{}, writtenIDs: map[string]bool{}}}
 	for range entries {
 		f.entries = append(f.entries, nil)
 	}
@@ -154,7 +156,7 @@
 }
 
 func (f *fleet) newProcess() *process {
-	return &process{holder: config.NewReplica(config.Location{}, f.clock, logr.Discard())}
+	return &process{replica: config.NewReplica(config.Location{}, f.clock, logr.Discard())}
 }
 
 func (f *fleet) rng() *rand.Rand {
@@ -164,40 +166,40 @@
 
 func (f *fleet) startEntry(i int) {
 	p := f.newProcess()
-	p.follower = follower.New(follower.Options{Log: f.log, Replica: p.holder, Clock: f.clock,
+	p.follower = follower.New(follower.Options{Log: f.log, Replica: p.replica, Clock: f.clock,
 		Logger: logr.Discard(), Rand: f.rng(), SnapshotInterval: time.Minute})
 	f.entries[i] = p
-	for key := range f.pairs {
+	for key := range f.connections {
 		if key[0] == i {
-			delete(f.pairs, key)
+			delete(f.connections, key)
 		}
 	}
 }
 
-func (f *fleet) pair(e, a int) *pair {
-	p, ok := f.pairs[[2]int{e, a}]
+func (f *fleet) connection(e, a int) *connection {
+	p, ok := f.connections[[2]int{e, a}]
 	if !ok {
-		p = &pair{atEntry: config.NewEntryLink(f.entries[e].holder, f.rng()), atAgent: config.NewAgentLink(f.agents[a].holder, f.rng())}
-		f.pairs[[2]int{e, a}] = p
+		p = &connection{entryLink: config.NewEntryLink(f.entries[e].replica, f.rng()), agentLink: config.NewAgentLink(f.agents[a].replica, f.rng())}
+		f.connections[[2]int{e, a}] = p
 	}
 	return p
 }
 
-// talk sends a frame each way and delivers some of those sent so far, again perhaps.
-func (f *fleet) talk(e, a int, pick func(n int) int) {
-	p := f.pair(e, a)
+// exchangeFrames sends a frame each way and delivers one of those sent so far each way.
+func (f *fleet) exchangeFrames(e, a int, pick func(n int) int) {
+	p := f.connection(e, a)
 	send := func(l *config.Link, queue *[]frame) {
-		mark, update := l.PrepareFrame(f.clock.Now())
-		*queue = append(*queue, frame{mark, update})
+		position, update := l.PrepareFrame(f.clock.Now())
+		*queue = append(*queue, frame{position, update})
 	}
-	hear := func(l *config.Link, queue []frame) {
+	receive := func(l *config.Link, queue []frame) {
 		fr := queue[pick(len(queue))]
-		Expect(l.Receive(fr.mark, fr.update)).To(Succeed())
+		Expect(l.Receive(fr.position, fr.update)).To(Succeed())
 	}
-	send(p.atAgent, &p.toEntry)
-	hear(p.atEntry, p.toEntry)
-	send(p.atEntry, &p.toAgent)
-	hear(p.atAgent, p.toAgent)
+	send(p.agentLink, &p.toEntry)
+	receive(p.entryLink, p.toEntry)
+	send(p.entryLink, &p.toAgent)
+	receive(p.agentLink, p.toAgent)
 }
 
 func (f *fleet) change(base uint64) *config.Change {
@@ -208,86 +210,90 @@
 	return c
 }
 
-// operate has an operator make a change; a rival may get in between.
-func (f *fleet) operate(rivals int) {
-	racing := &racingLog{Log: f.log}
+// publishChange publishes an operator's change. As many other changes as rivals are
+// published between its read and its append.
+func (f *fleet) publishChange(rivals int) {
+	raceLog := &racingLog{Log: f.log}
 	if rivals > 0 {
-		racing.before = func() { f.operate(rivals - 1) }
+		raceLog.beforeAppend = func() { f.publishChange(rivals - 1) }
 	}
-	ops := config.NewPublisher(racing, readOnce)
-	fold, _, err := ops.Load(context.Background())
+	publisher := config.NewPublisher(raceLog, readOnce)
+	fold, _, err := publisher.Load(context.Background())
 	if err != nil {
 		return
 	}
 	c := f.change(fold.State().Version)
-	state, err := ops.Publish(context.Background(), c)
-	f.sync()
-	f.judge(c, state, err)
+	state, err := publisher.Publish(context.Background(), c)
+	f.updateModel()
+	f.checkPublishResult(c, state, err)
 }
 
-func (f *fleet) judge(c *config.Change, state *config.State, err error) {
+// checkPublishResult checks an operator's result against the model.
+func (f *fleet) checkPublishResult(c *config.Change, state *config.State, err error) {
 	if err == nil {
-		Expect(f.history.ids).To(HaveKeyWithValue(c.ID, state.Version), "accepted, but not in the log's order")
+		Expect(f.model.acceptedVersions).To(HaveKeyWithValue(c.ID, state.Version), "reported as accepted, but not accepted in the log")
 		return
 	}
 	switch codeOf(err) {
 	case fault.ConfigUndecided:
-		f.undecided = append(f.undecided, asked{c.ID, c.Base})
+		f.undecided = append(f.undecided, undecidedChange{c.ID, c.Base})
 	case fault.ConfigNotTaken:
-		Expect(f.history.written).NotTo(HaveKey(c.ID), "not taken, but in the log")
-		f.refused = append(f.refused, c.ID)
+		Expect(f.model.writtenIDs).NotTo(HaveKey(c.ID), "reported as not written, but in the log")
+		f.rejectedIDs = append(f.rejectedIDs, c.ID)
 	case fault.ConfigConflict:
-		f.refused = append(f.refused, c.ID)
+		f.rejectedIDs = append(f.rejectedIDs, c.ID)
 	default:
 		f.t.Fatalf("unexpected: %v", err)
 	}
 }
 
+// resolve resolves an undecided change and checks the result against the model.
 func (f *fleet) resolve(i int) {
 	q := f.undecided[i]
 	r, err := config.NewPublisher(f.log, readOnce).Resolve(context.Background(), q.id, q.base)
 	var conflict *config.ConflictError
 	switch {
 	case err == nil:
-		Expect(f.history.ids).To(HaveKeyWithValue(q.id, r.Version))
+		Expect(f.model.acceptedVersions).To(HaveKeyWithValue(q.id, r.Version))
 	case errors.As(err, &conflict):
-		f.refused = append(f.refused, q.id)
+		f.rejectedIDs = append(f.rejectedIDs, q.id)
 	}
 }
 
-// sync shows the judge what was written since, before retention may drop it.
-func (f *fleet) sync() {
+// updateModel passes new records to the model, before retention can drop them.
+func (f *fleet) updateModel() {
 	faults := f.log.Faults()
 	f.log.SetFaults(logfake.Faults{})
 	defer f.log.SetFaults(faults)
 	for {
-		records, next, err := f.log.Read(context.Background(), config.Stream, f.history.end, 0)
+		records, next, err := f.log.Read(context.Background(), config.Stream, f.model.nextOffset, 0)
 		Expect(err).NotTo(HaveOccurred())
-		f.history.see(records)
-		f.history.end = next
+		f.model.observe(records)
+		f.model.nextOffset = next
 		if len(records) == 0 {
 			return
 		}
 	}
 }
 
-// check holds after every step.
-func (f *fleet) check() {
-	f.sync()
+// checkInvariants checks what must hold after every action.
+func (f *fleet) checkInvariants() {
+	f.updateModel()
 	for _, p := range append(append([]*process(nil), f.entries...), f.agents...) {
-		s := p.holder.Get().State
-		Expect(s.Version).To(BeNumerically(">=", p.seen), "a version went back")
-		p.seen = s.Version
-		want, ok := f.history.contents[s.Version]
+		s := p.replica.Get().State
+		Expect(s.Version).To(BeNumerically(">=", p.maxVersion), "the version decreased")
+		p.maxVersion = s.Version
+		want, ok := f.model.contents[s.Version]
 		Expect(ok).To(BeTrue(), "version %d was never accepted", s.Version)
-		Expect(quotasOf(s)).To(Equal(want), "version %d means something else here", s.Version)
+		Expect(quotasOf(s)).To(Equal(want), "version %d has another content than the accepted one", s.Version)
 	}
-	for _, id := range f.refused {
-		Expect(f.history.ids).NotTo(HaveKey(id), "told as not accepted, and in force after all")
+	for _, id := range f.rejectedIDs {
+		Expect(f.model.acceptedVersions).NotTo(HaveKey(id), "reported as not accepted, but accepted in the log")
 	}
 }
 
-func (f *fleet) calm() {
+// stabilise removes all faults, and polls and exchanges frames until the fleet converges.
+func (f *fleet) stabilise() {
 	f.log.SetFaults(logfake.Faults{})
 	f.log.ApplyDelayed(config.Stream)
 	for range 60 {
@@ -295,30 +301,30 @@
 		for e := range f.entries {
 			f.entries[e].follower.Poll(context.Background())
 			for a := range f.agents {
-				f.talk(e, a, func(n int) int { return n - 1 })
+				f.exchangeFrames(e, a, func(n int) int { return n - 1 })
 			}
 		}
 	}
-	f.check()
+	f.checkInvariants()
 }
 
-// Operators race each other, the log is down, slow to land what it was given,
-// loses answers and drops old records, entries restart with empty memory, and
-// frames between processes come late and twice. If the configuration ever went
-// back on a process, a lifted limit would bite again or a drained target would get
-// work; if an accepted change were lost, an operator would trust one that is not
-// in force; and two winners on one base would overwrite each other unseen.
+// TestSchedules runs random schedules in which operators publish concurrently, the log is
+// unavailable, writes records late, loses replies and drops old records, entries restart
+// without state, and frames arrive late and repeatedly. If the configuration of a process
+// returned to an older version, a lifted limit would apply again or a drained target would
+// get work. If an accepted change were lost, an operator would rely on one that is not in
+// force. If two changes on one base were accepted, one would silently overwrite the other.
 func TestSchedules(t *testing.T) {
 	RegisterTestingT(t)
-	converged, stranded := 0, 0
+	converged, restarted := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		RegisterFailHandlerFor(t)
+		registerFailHandler(t)
 		f := newFleet(t)
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { f.check() },
+			"": func(*rapid.T) { f.checkInvariants() },
 			"operate": func(*rapid.T) {
-				f.operate(rapid.IntRange(0, 2).Draw(t, "rivals"))
+				f.publishChange(rapid.IntRange(0, 2).Draw(t, "rivals"))
 			},
 			"resolve": func(t *rapid.T) {
 				if len(f.undecided) == 0 {
@@ -327,8 +333,8 @@
 				f.resolve(pick(len(f.undecided)))
 			},
 			"poll":       func(*rapid.T) { f.entries[pick(entries)].follower.Poll(context.Background()) },
-			"talk":       func(*rapid.T) { f.talk(pick(entries), pick(agents), pick) },
-			"reconnect":  func(*rapid.T) { delete(f.pairs, [2]int{pick(entries), pick(agents)}) },
+			"talk":       func(*rapid.T) { f.exchangeFrames(pick(entries), pick(agents), pick) },
+			"reconnect":  func(*rapid.T) { delete(f.connections, [2]int{pick(entries), pick(agents)}) },
 			"wait":       func(*rapid.T) { f.clock.Advance(time.Duration(pick(120)) * time.Second) },
 			"restart":    func(*rapid.T) { f.startEntry(pick(entries)) },
 			"land":       func(*rapid.T) { f.log.ApplyDelayed(config.Stream) },
@@ -337,52 +343,52 @@
 				f.log.SetFaults([]logfake.Faults{{Unavailable: true}, {ReadsUnavailable: true}, {LoseAnswers: true}, {DelayAppends: true}}[pick(4)])
 			},
 			"truncate": func(*rapid.T) {
-				f.sync()
+				f.updateModel()
 				lowest, end := f.log.Bounds(config.Stream)
 				f.log.Truncate(config.Stream, lowest+uint64(pick(int(end-lowest)+1)))
 			},
 		})
-		f.calm()
-		if f.settle() {
+		f.stabilise()
+		if f.checkConvergence() {
 			converged++
 		} else {
-			stranded++
+			restarted++
 		}
 	})
 	RegisterTestingT(t)
-	t.Logf("schedules: %d converged on the newest accepted version, %d first needed an operator's restart", converged, stranded)
-	Expect(converged).To(BeNumerically(">", stranded), "the schedules hardly test convergence any more")
+	t.Logf("schedules: %d converged on the newest accepted version, %d needed an operator's restart first", converged, restarted)
+	Expect(converged).To(BeNumerically(">", restarted), "too few schedules converge without a restart to test convergence")
 }
 
-// settle checks where a calm fleet ends: on the newest accepted version, all of
-// them, unless the log dropped what nobody alive had read. Then the operators'
-// tool says so and takes no change, until an operator restarts the configuration
-// from the newest state that a process still holds.
-func (f *fleet) settle() bool {
-	ops := config.NewPublisher(f.log, readOnce)
-	_, _, err := ops.Load(context.Background())
-	stranded := err != nil
-	if stranded {
+// checkConvergence checks that all processes of a stabilised fleet have the newest accepted
+// version, and reports whether they did without a restart of the configuration. If the log
+// dropped records that no running process has read, the operators' tool must refuse changes
+// until an operator restarts the configuration from the newest state of any process.
+func (f *fleet) checkConvergence() bool {
+	publisher := config.NewPublisher(f.log, readOnce)
+	_, _, err := publisher.Load(context.Background())
+	restarted := err != nil
+	if restarted {
 		Expect(codeOf(err)).To(Equal(fault.ConfigNotTaken))
 		newest := &config.State{}
 		for _, p := range f.entries {
-			Expect(p.follower.Contiguous()).To(BeFalse(), "nobody wrote a snapshot")
-			if s := p.holder.Get().State; s.Version > newest.Version {
+			Expect(p.follower.Contiguous()).To(BeFalse(), "a contiguous follower wrote no snapshot")
+			if s := p.replica.Get().State; s.Version > newest.Version {
 				newest = s
 			}
 		}
-		_, err = ops.Restart(context.Background(), newest, "ops", "records were lost")
+		_, err = publisher.Restart(context.Background(), newest, "ops", "records were lost")
 		Expect(err).NotTo(HaveOccurred())
-		f.calm()
+		f.stabilise()
 	}
 	for _, p := range append(append([]*process(nil), f.entries...), f.agents...) {
-		Expect(p.holder.Get().State.Version).To(Equal(f.history.latest), "not in force everywhere")
+		Expect(p.replica.Get().State.Version).To(Equal(f.model.latest), "the newest version is not in force everywhere")
 	}
-	return !stranded
+	return !restarted
 }
 
-// RegisterFailHandlerFor makes gomega's failures those of a rapid check, so that
-// rapid shrinks the schedule and prints its seed.
-func RegisterFailHandlerFor(t *rapid.T) {
+// registerFailHandler reports gomega's failures to rapid, so that rapid shrinks the schedule
+// and prints its seed.
+func registerFailHandler(t *rapid.T) {
 	RegisterFailHandler(func(message string, _ ...int) { t.Fatalf("%s", message) })
 }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -1,7 +1,7 @@
-// Package config is the fleet's lasting configuration: defaults that hold
-// everywhere and a short list of exceptions, each with a written reason. It lives
-// as a stream of changes on the platform's log, and every process derives the
-// same state from the order of that log alone.
+// Package config manages the fleet's persistent configuration: fleet-wide settings
+// and a short list of exceptions, each with a written reason. The configuration is
+// stored as a stream of changes on the platform's log, and every process derives the
+// same state from the order of the records alone.
 package config
 
 import (
@@ -10,22 +10,22 @@
 	"strings"
 )
 
-// Bounds of a state. They are part of the fold: a change that would pass them is
-// void for everyone, so they must never differ between programs of one fleet.
+// Limits of a state. A change that would exceed one is void on every process, so all
+// programs of a fleet must have the same limits.
 const (
-	MaxSettings   = 2000 // the letter's 140 teams and every other key many times over
-	MaxExceptions = 200  // a short list; more of them should have been a default
+	MaxSettings   = 2000 // many times the 140 teams of the design size plus all other keys
+	MaxExceptions = 200  // where more are needed, the fleet-wide setting should change instead
 	MaxNameBytes  = 64
 	MaxTextBytes  = 512
 )
 
-// Setting is a fleet-wide value that differs from the built-in default.
+// Setting is a fleet-wide value that overrides the built-in default.
 type Setting struct {
 	Key   Key   `cbor:"1,keyasint" json:"key"`
 	Value int64 `cbor:"2,keyasint" json:"value"`
 }
 
-// Exception is a value that holds for one place only.
+// Exception overrides a setting for one data centre, rack, entry or target.
 type Exception struct {
 	Kind   ScopeKind `cbor:"1,keyasint" json:"kind"`
 	Name   string    `cbor:"2,keyasint" json:"name"`
@@ -33,17 +33,17 @@
 	Value  int64     `cbor:"4,keyasint" json:"value"`
 	Reason string    `cbor:"5,keyasint" json:"reason"`
 	Author string    `cbor:"6,keyasint" json:"author"`
-	AtMs   int64     `cbor:"7,keyasint" json:"at_ms"` // Unix milliseconds, by the author's clock; shown, never compared
+	AtMs   int64     `cbor:"7,keyasint" json:"at_ms"` // Unix milliseconds on the author's clock; for display only, never compared
 }
 
-// Place identifies an exception: there is at most one for each.
+// Place identifies an exception; a state has at most one exception per place.
 type Place struct {
 	Kind ScopeKind `cbor:"1,keyasint" json:"kind"`
 	Name string    `cbor:"2,keyasint" json:"name"`
 	Key  Key       `cbor:"3,keyasint" json:"key"`
 }
 
-// Place returns what the exception is about.
+// Place returns the identity of the exception.
 func (e *Exception) Place() Place { return Place{e.Kind, e.Name, e.Key} }
 
 func (p Place) compare(o Place) int {
@@ -56,42 +56,43 @@
 	return strings.Compare(string(p.Key), string(o.Key))
 }
 
-// State is the configuration as of a position in the log. The zero State is the
-// built-in defaults. A State is never changed once made; Apply returns a new one.
+// State is the configuration as of a position in the log. The zero State stands for
+// the built-in defaults. A State is immutable; Apply returns a new one.
 type State struct {
-	// Version is the offset of the change that made it plus one; 0 means none.
-	// Offsets never repeat, so two different states never share a version.
+	// Version is one more than the offset of the change or restart that produced the
+	// state; 0 means none. Offsets are unique, so different states have different
+	// versions.
 	Version uint64 `cbor:"1,keyasint" json:"version"`
-	// AsOf is the position: every record below this offset is taken into account.
+	// AsOf is the position: the state reflects every record below this offset.
 	AsOf       uint64      `cbor:"2,keyasint" json:"as_of"`
 	ChangeID   string      `cbor:"3,keyasint,omitempty" json:"change_id"`
 	Author     string      `cbor:"4,keyasint,omitempty" json:"author"`
 	Reason     string      `cbor:"5,keyasint,omitempty" json:"reason"`
 	AtMs       int64       `cbor:"6,keyasint,omitempty" json:"at_ms"`
-	Settings   []Setting   `cbor:"7,keyasint,omitempty" json:"settings"`   // in order of key
-	Exceptions []Exception `cbor:"8,keyasint,omitempty" json:"exceptions"` // in order of place
-	// LastWrite is the offset plus one of the last change or restart seen, void or
-	// not; a restart is valid only where none lies between what its author had
-	// read and itself.
+	Settings   []Setting   `cbor:"7,keyasint,omitempty" json:"settings"`   // sorted by key
+	Exceptions []Exception `cbor:"8,keyasint,omitempty" json:"exceptions"` // sorted by place
+	// LastWrite is one more than the offset of the last change or restart, whether
+	// void or not. A restart is void if another change or restart was written after
+	// its author had read the log.
 	LastWrite uint64 `cbor:"9,keyasint,omitempty" json:"-"`
 }
 
-// Change is an operator's change. It is based on one version and void wherever
-// that is no longer the current one.
+// Change is an operator's change to the configuration. It is void unless the version
+// that it is based on is current at the change's position in the log.
 type Change struct {
-	ID     string      `cbor:"1,keyasint" json:"id"` // random, to find it again in the log
+	ID     string      `cbor:"1,keyasint" json:"id"` // random; identifies the change in the log
 	Base   uint64      `cbor:"2,keyasint" json:"base"`
 	Author string      `cbor:"3,keyasint" json:"author"`
 	Reason string      `cbor:"4,keyasint,omitempty" json:"reason"`
 	AtMs   int64       `cbor:"5,keyasint" json:"at_ms"`
 	Set    []Setting   `cbor:"6,keyasint,omitempty" json:"set,omitempty"`
-	Unset  []Key       `cbor:"7,keyasint,omitempty" json:"unset,omitempty"` // back to the built-in default
+	Unset  []Key       `cbor:"7,keyasint,omitempty" json:"unset,omitempty"` // keys that return to the built-in default
 	Add    []Exception `cbor:"8,keyasint,omitempty" json:"add,omitempty"`
 	Remove []Place     `cbor:"9,keyasint,omitempty" json:"remove,omitempty"`
 }
 
-// StructureError says why a change can't be part of any state. It depends only on
-// rules that are the same in every program of the fleet.
+// StructureError reports why a change is invalid on every state. The rules behind it
+// are the same in every program of the fleet.
 type StructureError struct {
 	Field  string
 	Detail string
@@ -100,7 +101,7 @@
 // Error implements error.
 func (e *StructureError) Error() string { return e.Field + ": " + e.Detail }
 
-// Value returns a fleet-wide value and whether it was set.
+// Value returns the fleet-wide value of a key and whether one is set.
 func (s *State) Value(k Key) (int64, bool) {
 	i, found := slices.BinarySearchFunc(s.Settings, k, compareSetting)
 	if !found {
@@ -113,10 +114,10 @@
 
 func compareException(e Exception, p Place) int { return e.Place().compare(p) }
 
-// Apply returns the content that follows from the change, with the same version
-// and position. The error is a *StructureError. It looks only at structure, and
-// not at which keys and values this program knows: two programs of different age
-// would otherwise fold the same log to different states for ever.
+// Apply returns a copy of the state with the change applied, but with the same version
+// and position. The error is a *StructureError. Only the structure is checked, not
+// whether this program knows the keys and allows the values: otherwise programs of
+// different releases would permanently derive different states from the same log.
 func (s *State) Apply(c *Change) (*State, error) {
 	if err := c.checkStructure(); err != nil {
 		return nil, err
--- a/internal/config/structure.go
+++ b/internal/config/structure.go
@@ -2,10 +2,12 @@
 
 import "strings"
 
-// The rules in this file decide whether a change is void, on every process and in
-// every program of a fleet. They may never be tightened or loosened without a new
-// record format.
+// The rules in this file determine whether a change is void, and must give the same result
+// in every program of a fleet. They must not be tightened or relaxed without a new record
+// format.
 
+// checkStructure checks the rules for a change that don't depend on a state. The error is
+// a *StructureError.
 func (c *Change) checkStructure() error {
 	switch {
 	case c.ID == "" || len(c.ID) > MaxNameBytes:
@@ -55,8 +57,8 @@
 
 func validText(s string) bool { return len(s) <= MaxTextBytes }
 
-// validKey allows two names joined by dots' worth of bytes, so that a team's quota
-// with the longest team name fits.
+// validKey reports whether a key has valid bytes and at most twice the length of a name, so
+// that the quota key of a team with the longest name is valid.
 func validKey(k Key) bool {
 	return len(k) > 0 && len(k) <= 2*MaxNameBytes && validBytes(string(k))
 }
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -4,31 +4,33 @@
 	"github.com/camphorrack/camphorrack/internal/platformlog"
 )
 
-// Update is what one process sends another that is behind: the records it lacks
-// where the sender still has them, or else the whole state. At the letter's 8,900
-// changes a day an entry would spend more than its budget on whole states alone.
+// Update brings a peer with an older position up to date. It contains the records that
+// the peer lacks if the sender still has them, and the whole state otherwise. At the
+// design rate of 8,900 changes a day, sending whole states only would exceed an entry's
+// bandwidth budget.
 type Update struct {
 	Format  int          `cbor:"1,keyasint"`
 	State   *State       `cbor:"2,keyasint,omitempty"`
-	From    uint64       `cbor:"3,keyasint,omitempty"` // Records begin here and leave out only snapshots
-	Next    uint64       `cbor:"4,keyasint,omitempty"`
+	From    uint64       `cbor:"3,keyasint,omitempty"` // offset at which Records begins; only snapshots are left out
+	Next    uint64       `cbor:"4,keyasint,omitempty"` // offset that follows the last record covered
 	Records []TailRecord `cbor:"5,keyasint,omitempty"`
 }
 
-// TailRecord is a record of the log as a peer passes it on.
+// TailRecord is a record of the log that a peer forwards.
 type TailRecord struct {
 	Offset uint64 `cbor:"1,keyasint"`
 	Data   []byte `cbor:"2,keyasint"`
 }
 
-// Bounds of the records that a process keeps for its peers: enough for the
-// changes of about ten minutes at the letter's rate, and far below the budget.
+// Limits of the records that a process keeps for its peers. They hold the changes of
+// about ten minutes at the design rate, and are far below the bandwidth budget.
 const (
 	maxTailRecords = 64
 	maxTailBytes   = 32 << 10
 )
 
-// tail is the newest records below a state's position, without a gap.
+// tail holds the newest records below a state's position, without a gap. Snapshots are
+// left out.
 type tail struct {
 	from    uint64
 	next    uint64
@@ -36,7 +38,8 @@
 	bytes   int
 }
 
-// extend adds what a read brought; a gap starts the tail anew.
+// extend appends the records of a read. If they do not follow on from the tail, the
+// older records are dropped.
 func (t *tail) extend(from uint64, records []platformlog.Record, next uint64) {
 	if next <= t.next {
 		return
@@ -64,23 +67,24 @@
 	return err == nil && r.Snapshot != nil
 }
 
-// since returns the records from mark on, and false where some were dropped.
-func (t *tail) since(mark uint64) ([]TailRecord, bool) {
-	if mark < t.from || mark > t.next {
+// since returns the records at and above position, or false if the tail does not hold
+// all of them.
+func (t *tail) since(position uint64) ([]TailRecord, bool) {
+	if position < t.from || position > t.next {
 		return nil, false
 	}
 	i := 0
-	for i < len(t.records) && t.records[i].Offset < mark {
+	for i < len(t.records) && t.records[i].Offset < position {
 		i++
 	}
 	return t.records[i:], true
 }
 
-// encodeUpdate returns what a peer at mark lacks of state.
-func encodeUpdate(state *State, t *tail, mark uint64) ([]byte, error) {
+// encodeUpdate returns an encoded Update to state for a peer at position.
+func encodeUpdate(state *State, t *tail, position uint64) ([]byte, error) {
 	u := Update{Format: Format, State: state}
-	if records, ok := t.since(mark); ok && t.next == state.AsOf {
-		u = Update{Format: Format, From: mark, Next: t.next, Records: records}
+	if records, ok := t.since(position); ok && t.next == state.AsOf {
+		u = Update{Format: Format, From: position, Next: t.next, Records: records}
 	}
 	b, err := encoder.Marshal(&u)
 	if err != nil {
@@ -89,7 +93,8 @@
 	return b, nil
 }
 
-// DecodeUpdate reads an update; the error is a *CodecError or a *FormatError.
+// DecodeUpdate decodes and checks an update. The error is a *CodecError or a
+// *FormatError.
 func DecodeUpdate(b []byte) (*Update, error) {
 	if len(b) > MaxStateBytes {
 		return nil, &CodecError{errSize}
@@ -110,6 +115,8 @@
 	return u, u.checkRecords()
 }
 
+// checkRecords checks that the records are in ascending order of offset, within From
+// and Next, and not too many.
 func (u *Update) checkRecords() error {
 	last := u.From
 	for _, r := range u.Records {
@@ -124,9 +131,9 @@
 	return nil
 }
 
-// apply returns the state that follows from the update on current, or nil where
-// it does not follow on it: the peer was then told of an older position, and is
-// asked again with the next frame.
+// apply returns the state after applying the update to current, or nil if the update
+// begins above current or adds nothing to it. The peer then worked from an outdated
+// position; the next frame tells it the current one.
 func (u *Update) apply(current *State) (*State, error) {
 	if u.State != nil {
 		return u.State, nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -8,13 +8,13 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// Validate checks a change before it is published: its structure, and that this
-// program knows every key and finds every value in range. The error is a
+// Validate checks a change to the state before it is published: its structure, and that
+// this program knows every key and allows every value and scope. The error is a
 // *fault.Fault of code ConfigInvalid that names the field.
 func (c *Change) Validate(on *State) error {
 	if _, err := on.Apply(c); err != nil {
 		s := err.(*StructureError) // the only error of Apply
-		return invalid(s.Field, s.Detail)
+		return invalidFault(s.Field, s.Detail)
 	}
 	for _, s := range c.Set {
 		if err := checkValue(s.Key, s.Value, ""); err != nil {
@@ -29,20 +29,20 @@
 	return nil
 }
 
-func invalid(field, detail string) *fault.Fault {
+func invalidFault(field, detail string) *fault.Fault {
 	return fault.Input(fault.ConfigInvalid, field, detail)
 }
 
 func checkValue(k Key, v int64, kind ScopeKind) error {
 	d, ok := LookupDefinition(k)
 	if !ok {
-		return invalid(string(k), "no such setting")
+		return invalidFault(string(k), "no such setting")
 	}
 	if v < d.Min || v > d.Max {
-		return invalid(string(k), fmt.Sprintf("takes %d to %d %s", d.Min, d.Max, d.Unit))
+		return invalidFault(string(k), fmt.Sprintf("takes %d to %d %s", d.Min, d.Max, d.Unit))
 	}
 	if kind != "" && !slices.Contains(d.Scopes, kind) {
-		return invalid(string(k), "no exception can be made for "+string(kind)+"; "+d.scopesText())
+		return invalidFault(string(k), "no exception can be made for "+string(kind)+"; "+d.scopesText())
 	}
 	return nil
 }
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -36,7 +36,7 @@
 bench internal/attempt 'Attempt|Remembered'
 bench internal/scheduler/placement Choose
 bench internal/scheduler/grants ContestedSlot
-bench internal/config 'Apply|IdleTell|Snapshots|FanOut|Load'
+bench internal/config 'Apply|IdleSendDue|Snapshots|FanOut|Load'
 bench internal/entry Lookup -benchtime 2s
 
 export CAMPHORRACK_BENCH_BIN=$PWD/bin
