--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -253,8 +253,8 @@
 
 func (f *fanOutFleet) inForce(version uint64) bool {
 	for _, replicas := range [][]*config.Replica{f.entries, f.agents} {
-		for _, h := range replicas {
-			if h.Get().State.Version < version {
+		for _, r := range replicas {
+			if r.Get().State.Version < version {
 				return false
 			}
 		}
--- a/internal/config/catalogue.go
+++ b/internal/config/catalogue.go
@@ -104,22 +104,22 @@
 	return Catalogue[i], true
 }
 
-// Location is the position of a process or a target in the fleet, by which exceptions
-// are matched. Empty fields match no exception.
+// Location names a process or target and the data centre and rack it runs in, by which
+// exceptions are matched. Empty fields match no exception.
 type Location struct {
 	DataCentre, Rack, Entry, Target string
 }
 
-func (w Location) nameFor(kind ScopeKind) string {
+func (l Location) nameFor(kind ScopeKind) string {
 	switch kind {
 	case ScopeDataCentre:
-		return w.DataCentre
+		return l.DataCentre
 	case ScopeRack:
-		return w.Rack
+		return l.Rack
 	case ScopeEntry:
-		return w.Entry
+		return l.Entry
 	case ScopeTarget:
-		return w.Target
+		return l.Target
 	}
 	return ""
 }
@@ -131,7 +131,7 @@
 // Resolve returns the settings in force at a location. Unknown keys, which come from a
 // newer program, are skipped, and values out of range are clamped: a process uses what
 // it supports, while every process keeps and forwards the same state.
-func (s *State) Resolve(w Location) Settings {
+func (s *State) Resolve(l Location) Settings {
 	var out Settings
 	for _, d := range Catalogue {
 		*d.field(&out) = d.Default
@@ -145,7 +145,7 @@
 	}
 	for _, kind := range widestFirst {
 		for _, e := range s.Exceptions {
-			if e.Kind == kind && e.Name != "" && e.Name == w.nameFor(kind) {
+			if e.Kind == kind && e.Name != "" && e.Name == l.nameFor(kind) {
 				assign(&out, e.Key, e.Value)
 			}
 		}
@@ -154,6 +154,8 @@
 	return out
 }
 
+// assign sets the field of a key to a value, clamped to the allowed range. Unknown keys are
+// ignored.
 func assign(out *Settings, k Key, v int64) {
 	d, ok := LookupDefinition(k)
 	if !ok || d.field == nil {
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -21,13 +21,13 @@
 }
 
 func onlyIn(in, other *State, sign string) []string {
-	contains := make(map[Exception]bool, len(other.Exceptions))
+	inOther := make(map[Exception]bool, len(other.Exceptions))
 	for _, e := range other.Exceptions {
-		contains[e] = true
+		inOther[e] = true
 	}
 	var lines []string
 	for _, e := range in.Exceptions {
-		if !contains[e] {
+		if !inOther[e] {
 			lines = append(lines, fmt.Sprintf("%s except %s:%s %s=%d: %s", sign, e.Kind, e.Name, e.Key, e.Value, e.Reason))
 		}
 	}
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -38,12 +38,12 @@
 }
 
 // ID returns the id of the change or restart, or "" for a malformed record.
-func (v *Result) ID() string {
+func (res *Result) ID() string {
 	switch {
-	case v.Change != nil:
-		return v.Change.ID
-	case v.Restart != nil:
-		return v.Restart.ID
+	case res.Change != nil:
+		return res.Change.ID
+	case res.Restart != nil:
+		return res.Restart.ID
 	}
 	return ""
 }
@@ -135,12 +135,12 @@
 		if r.Offset < f.NextOffset() {
 			continue
 		}
-		v, err := f.applyRecord(r)
+		res, err := f.applyRecord(r)
 		if err != nil {
 			return out, err
 		}
-		if v.Outcome != Ignored {
-			out = append(out, v)
+		if res.Outcome != Ignored {
+			out = append(out, res)
 		}
 		if f.NextOffset() <= r.Offset {
 			return out, nil // a snapshot moved the position back: read again from there
@@ -172,25 +172,25 @@
 	if errors.As(err, &format) {
 		return Result{}, err
 	}
-	v := Result{Offset: r.Offset}
+	res := Result{Offset: r.Offset}
 	switch {
 	case err != nil:
-		v.Outcome, v.Err = Malformed, err
+		res.Outcome, res.Err = Malformed, err
 	case rec.Change != nil:
-		v.Change = rec.Change
-		f.applyChange(&v)
+		res.Change = rec.Change
+		f.applyChange(&res)
 	case rec.Restart != nil:
-		v.Restart = rec.Restart
-		f.applyRestart(&v)
+		res.Restart = rec.Restart
+		f.applyRestart(&res)
 	case rec.Snapshot != nil:
 		f.snapshotCount++
 		if f.applySnapshot(rec.Snapshot) {
-			return v, nil // the position moved back to that of the snapshot
+			return res, nil // the position moved back to that of the snapshot
 		}
 	}
 	f.advancePosition(r.Offset + 1)
-	v.State = f.state
-	return v, nil
+	res.State = f.state
+	return res, nil
 }
 
 // recordWrite updates LastWrite for a change or restart at offset, whether void or not.
@@ -205,24 +205,24 @@
 }
 
 // applyChange applies a change and sets the outcome of the result.
-func (f *Fold) applyChange(v *Result) {
-	f.recordWrite(v.Offset)
+func (f *Fold) applyChange(res *Result) {
+	f.recordWrite(res.Offset)
 	if !f.contiguous {
-		v.Outcome = Undetermined
+		res.Outcome = Undetermined
 		return
 	}
-	if v.Change.Base != f.state.Version {
-		v.Outcome = VoidStaleBase
+	if res.Change.Base != f.state.Version {
+		res.Outcome = VoidStaleBase
 		return
 	}
-	next, err := f.state.Apply(v.Change)
+	next, err := f.state.Apply(res.Change)
 	if err != nil {
-		v.Outcome, v.Err = VoidInvalid, err
+		res.Outcome, res.Err = VoidInvalid, err
 		return
 	}
-	next.Version = v.Offset + 1
+	next.Version = res.Offset + 1
 	f.state = next
-	v.Outcome = Accepted
+	res.Outcome = Accepted
 }
 
 // applySnapshot makes a fold contiguous at the snapshot's position and reports whether it
@@ -242,24 +242,24 @@
 // a change or another restart was written after its author had read the log, so a
 // restart that is appended twice or late overrides nothing. The outcome is undetermined
 // if the log has dropped records that may be such a change.
-func (f *Fold) applyRestart(v *Result) {
-	r := v.Restart
+func (f *Fold) applyRestart(res *Result) {
+	r := res.Restart
 	lastWrite := f.scanLastWrite
 	if f.contiguous {
 		lastWrite = f.state.LastWrite
 	}
-	f.recordWrite(v.Offset)
+	f.recordWrite(res.Offset)
 	if !f.contiguous && r.End < f.scanFrom {
-		v.Outcome = Undetermined
+		res.Outcome = Undetermined
 		return
 	}
 	if lastWrite > r.End {
-		v.Outcome = VoidStaleBase
+		res.Outcome = VoidStaleBase
 		return
 	}
 	next := *r.State
-	next.Version, next.LastWrite, next.AsOf = v.Offset+1, v.Offset+1, v.Offset+1
+	next.Version, next.LastWrite, next.AsOf = res.Offset+1, res.Offset+1, res.Offset+1
 	next.ChangeID, next.Author, next.Reason, next.AtMs = r.ID, r.Author, r.Reason, r.AtMs
 	f.state, f.contiguous = &next, true
-	v.Outcome = Accepted
+	res.Outcome = Accepted
 }
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -57,7 +57,7 @@
 }
 
 // Resolve returns the settings in force at another location, such as that of a target.
-func (r *Replica) Resolve(w Location) Settings { return r.Get().State.Resolve(w) }
+func (r *Replica) Resolve(l Location) Settings { return r.Get().State.Resolve(l) }
 
 // Watch calls f with the configuration in force, at once and after each change. Calls are
 // made in order of version, on the goroutine that applied the change. f must not block
--- a/internal/config/linearize_test.go
+++ b/internal/config/linearize_test.go
@@ -141,9 +141,9 @@
 	_, results, err := config.NewPublisher(log, readOnce).Load(context.Background())
 	g.Expect(err).NotTo(HaveOccurred())
 	produced := map[int64]uint64{}
-	for _, v := range results {
-		if v.Outcome == config.Accepted {
-			produced[v.Change.Set[0].Value] = v.State.Version
+	for _, res := range results {
+		if res.Outcome == config.Accepted {
+			produced[res.Change.Set[0].Value] = res.State.Version
 		}
 	}
 	for i := range events {
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -25,7 +25,7 @@
 // unwraps to a *fault.Fault of code ConfigConflict.
 type ConflictError struct {
 	Base    uint64 // version that the change was based on
-	Current *State // state after the change, or the current one
+	Current *State // state in force when the change was found to be void
 	fault   *fault.Fault
 }
 
@@ -164,19 +164,19 @@
 // known. It returns the state that it produced, or the error that Publish reports.
 func findResult(results []Result, id string, base uint64) (*State, error, bool) {
 	for i := range results {
-		v := &results[i]
-		if v.ID() != id {
+		res := &results[i]
+		if res.ID() != id {
 			continue
 		}
-		switch v.Outcome {
+		switch res.Outcome {
 		case Accepted:
-			return v.State, nil, true
+			return res.State, nil, true
 		case VoidInvalid:
-			return nil, fault.New(fault.ConfigInvalid, v.Err.Error()), true
+			return nil, fault.New(fault.ConfigInvalid, res.Err.Error()), true
 		case Undetermined:
 			continue
 		}
-		return nil, newConflictError(base, v.State), true
+		return nil, newConflictError(base, res.State), true
 	}
 	return nil, nil, false
 }
--- a/internal/config/resolve.go
+++ b/internal/config/resolve.go
@@ -46,19 +46,19 @@
 // that version is the one that was accepted.
 func resolveUndetermined(results []Result, id string, base uint64, current *State) (*Resolution, error) {
 	for i := range results {
-		v := &results[i]
-		if v.Outcome != Undetermined || v.Offset < base {
+		res := &results[i]
+		if res.Outcome != Undetermined || res.Offset < base {
 			continue
 		}
-		if v.Restart != nil {
+		if res.Restart != nil {
 			return nil, fault.New(fault.ConfigUndecided,
 				"the configuration was restarted meanwhile; compare with what is in force: camphorctl config get")
 		}
-		if v.Change.Base != base {
+		if res.Change.Base != base {
 			continue
 		}
-		if v.ID() == id {
-			return &Resolution{v.Offset + 1, current}, nil
+		if res.ID() == id {
+			return &Resolution{res.Offset + 1, current}, nil
 		}
 		break
 	}
