--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -175,9 +175,9 @@
 
 // logVoidChange logs a change whose base version was not current. Changes that are read
 // before the end of the log is reached for the first time may be old and are not logged.
-func (f *Follower) logVoidChange(v *config.Result) {
-	if f.caughtUp && v.Outcome == config.VoidStaleBase {
-		event.Log(f.options.Logger, event.ConfigConflict, "change", v.ID(), "offset", v.Offset, "version", v.State.Version)
+func (f *Follower) logVoidChange(res *config.Result) {
+	if f.caughtUp && res.Outcome == config.VoidStaleBase {
+		event.Log(f.options.Logger, event.ConfigConflict, "change", res.ID(), "offset", res.Offset, "version", res.State.Version)
 	}
 }
 
