--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -66,6 +66,7 @@
 	formatDecoder = mustFormatDecoder()
 )
 
+// mustEncoder returns an encoder that gives equal values equal bytes.
 func mustEncoder() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -74,6 +75,8 @@
 	return mode
 }
 
+// mustDecoder returns the decoder of records, states and updates. It rejects unknown
+// fields, and bounds nesting and the size of arrays.
 func mustDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
