--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -28,7 +28,7 @@
 
 // ErrDrainTimeout is returned by Agent.Stop when the drain timeout expired while tasks were
 // running or reports were undelivered.
-var ErrDrainTimeout = errors.New("the drain timeout was over before every task had ended and was reported")
+var ErrDrainTimeout = errors.New("the drain timeout expired before every task had ended and was reported")
 
 // Agent is the daemon: an HTTP server for the target and operators, and sessions with entries.
 type Agent struct {
@@ -39,7 +39,7 @@
 	metrics     *counters
 	control     *controlLoop
 	dialers     *dialers
-	holder      *config.Replica
+	replica     *config.Replica
 	fanOut      *config.FanOut
 	stopFanOut  context.CancelFunc
 	listener    net.Listener
@@ -69,9 +69,9 @@
 	a.control = newControl(s, a.clock, a.metrics.TurnObserver(log))
 	a.dialers = newDialers(a)
 	a.metrics.registerMemberGauges(a.dialers)
-	a.holder = config.NewReplica(config.Location{DataCentre: o.DataCentre, Rack: o.Rack}, a.clock, log)
-	a.fanOut = config.NewFanOut(a.holder)
-	a.metrics.RegisterConfig(a.holder)
+	a.replica = config.NewReplica(config.Location{DataCentre: o.DataCentre, Rack: o.Rack}, a.clock, log)
+	a.fanOut = config.NewFanOut(a.replica)
+	a.metrics.RegisterConfig(a.replica)
 	a.unusedConns = httpconn.NewUnusedConns()
 	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout, ConnState: a.unusedConns.Track}
 	return a, nil
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -13,7 +13,7 @@
 // attachConfig starts exchanging configuration on a new connection to an entry. An agent keeps
 // the configuration for entries that start while the log of the platform is unavailable.
 func (s *entrySession) attachConfig() {
-	link := config.NewAgentLink(s.holder, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	link := config.NewAgentLink(s.replica, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	s.config = s.fanOut.Add(link, func(version uint64, update []byte) {
 		s.conn.Send(&wire.ToEntry{Version: version, Config: update})
 	})
@@ -26,4 +26,4 @@
 	}
 }
 
-func (a *Agent) handleConfig(g *gin.Context) { g.JSON(http.StatusOK, a.holder.Report()) }
+func (a *Agent) handleConfig(g *gin.Context) { g.JSON(http.StatusOK, a.replica.Report()) }
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -20,8 +20,8 @@
 // closed after the daemon has stopped.
 func (p Program[D]) Module() fx.Option {
 	return fx.Options(
-		fx.Provide(func(life fx.Lifecycle) logr.Logger { return NewLogger(life, p.Name, p.LogLevel) }, p.New),
+		fx.Provide(func(lifecycle fx.Lifecycle) logr.Logger { return NewLogger(lifecycle, p.Name, p.LogLevel) }, p.New),
 		fx.StopTimeout(p.StopTimeout),
-		fx.Invoke(func(life fx.Lifecycle, shutdown fx.Shutdowner, d D) { p.Service(d).Register(life, shutdown) }),
+		fx.Invoke(func(lifecycle fx.Lifecycle, shutdown fx.Shutdowner, d D) { p.Service(d).Register(lifecycle, shutdown) }),
 	)
 }
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -21,8 +21,8 @@
 }
 
 // Register hooks the service into the lifecycle of the fx application.
-func (s Service) Register(life fx.Lifecycle, shutdown fx.Shutdowner) {
-	life.Append(fx.Hook{
+func (s Service) Register(lifecycle fx.Lifecycle, shutdown fx.Shutdowner) {
+	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			s.Start()
 			go func() {
@@ -38,8 +38,8 @@
 // NewLogger returns a buffered logger to stdout that is closed on stop. fx runs stop hooks in
 // reverse order and constructs the logger before the daemon, so the daemon can log until it
 // has stopped.
-func NewLogger(life fx.Lifecycle, program string, level int) logr.Logger {
+func NewLogger(lifecycle fx.Lifecycle, program string, level int) logr.Logger {
 	buffer := logging.NewBuffer(os.Stdout)
-	life.Append(fx.StopHook(buffer.Close))
+	lifecycle.Append(fx.StopHook(buffer.Close))
 	return logging.New(buffer, program, level)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -166,12 +166,12 @@
 }
 
 // Guards against orders to a target after its agent has reported that it is leaving, down
-// or shunned.
+// or rejecting starts.
 func TestNothingIsPlacedOnAnUnavailableTarget(t *testing.T) {
 	for name, change := range map[string]func(*wire.Load){
-		"leaving": func(l *wire.Load) { l.Leaving = true },
-		"down":    func(l *wire.Load) { l.Down = true },
-		"shunned": func(l *wire.Load) { l.Rejecting = true },
+		"leaving":   func(l *wire.Load) { l.Leaving = true },
+		"down":      func(l *wire.Load) { l.Down = true },
+		"rejecting": func(l *wire.Load) { l.Rejecting = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 2)
--- a/internal/dispatch/overdue.go
+++ b/internal/dispatch/overdue.go
@@ -18,9 +18,9 @@
 	// actual work each deviate by two fifths. If both were log-normal, one task in a
 	// hundred would take four times as long for that reason alone.
 	overdueFactor = 4
-	// shunnedFactor is the same factor for a target that its agent reports as making no
+	// rejectingFactor is the same factor for a target that its agent reports as making no
 	// progress.
-	shunnedFactor = 2
+	rejectingFactor = 2
 	// overdueMargin is added to the limit, so that tasks of some tens of milliseconds
 	// are not stopped because of one short stall of a host.
 	overdueMargin = 60 * time.Millisecond
@@ -68,7 +68,7 @@
 func (c *Core) isOverdue(at *attempt) bool {
 	factor := time.Duration(overdueFactor)
 	if at.agent.load.Rejecting {
-		factor = shunnedFactor
+		factor = rejectingFactor
 	}
 	return c.now.Sub(at.placedAt) > factor*at.expectedTime+overdueMargin
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -94,7 +94,7 @@
 
 // Dispatcher is the daemon.
 type Dispatcher struct {
-	o            Options
+	options      Options
 	log          logr.Logger
 	clock        clock.Clock
 	stall        *clock.StallDetector
@@ -114,7 +114,7 @@
 func New(o Options, log logr.Logger) (*Dispatcher, error) {
 	leased.LimitMemory(o.MemoryMB)
 	d := &Dispatcher{
-		o: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold), incarnation: job.NewIncarnation(),
+		options: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold), incarnation: job.NewIncarnation(),
 	}
 	d.metrics = newCounters(func() int { return d.loop.QueuedCommands() })
 	d.sessions = newSessions(d)
@@ -133,8 +133,8 @@
 func (d *Dispatcher) newState() *state {
 	s := &state{entries: map[string]string{}}
 	s.core = dispatch.New(dispatch.Options{
-		Log: d.log, Outbox: d.sessions, DataCentre: d.o.DataCentre, LeaseLimit: d.o.LeaseLimit,
-		RemoteFactor: d.o.RemoteFactor, LinkMbps: d.o.LinkMbps, Now: time.Now,
+		Log: d.log, Outbox: d.sessions, DataCentre: d.options.DataCentre, LeaseLimit: d.options.LeaseLimit,
+		RemoteFactor: d.options.RemoteFactor, LinkMbps: d.options.LinkMbps, Now: time.Now,
 	})
 	s.config = &confsync.Replica{Apply: d.applyConfig}
 	s.config.Send = func(id confsync.PeerID, note configNote) { s.core.QueueConfigNote(dispatch.ConnID(id), note) }
@@ -146,7 +146,7 @@
 
 // applyConfig puts a configuration into force. If it is invalid, the previous one stays.
 func (d *Dispatcher) applyConfig(_ time.Time, version uint64, body []byte) error {
-	table, err := d.o.ParseConfig(body)
+	table, err := d.options.ParseConfig(body)
 	if err != nil {
 		event.Log(d.log, event.ConfigBad, "version", version, "error", err.Error())
 		return err
@@ -196,11 +196,11 @@
 	metricsRouter := gin.New()
 	metricsRouter.GET(leased.MetricsPath, leased.Metrics(d.log, d.metrics.Registry, d.refreshMetrics))
 	callerServer, err := d.servers.Listen(d.log, connLimits(routing.Limits{}), withConn,
-		leased.Endpoint{Purpose: "runners", Addr: d.o.SessionAddr, Handler: sessionRouter},
-		leased.Endpoint{Purpose: "the balancer", Addr: d.o.ReadyAddr, Handler: d.o.NewReadinessHandler(d.ready)},
-		leased.Endpoint{Purpose: "metrics", Addr: d.o.MetricsAddr, Handler: metricsRouter},
-		leased.Endpoint{Purpose: "targets", Addr: d.o.TargetsAddr, Handler: http.HandlerFunc(rejectTarget)},
-		leased.Endpoint{Purpose: "callers", Addr: d.o.CallerAddr, Handler: d.o.NewCallerHandler(d)},
+		leased.Endpoint{Purpose: "runners", Addr: d.options.SessionAddr, Handler: sessionRouter},
+		leased.Endpoint{Purpose: "the balancer", Addr: d.options.ReadyAddr, Handler: d.options.NewReadinessHandler(d.ready)},
+		leased.Endpoint{Purpose: "metrics", Addr: d.options.MetricsAddr, Handler: metricsRouter},
+		leased.Endpoint{Purpose: "targets", Addr: d.options.TargetsAddr, Handler: http.HandlerFunc(rejectTarget)},
+		leased.Endpoint{Purpose: "callers", Addr: d.options.CallerAddr, Handler: d.options.NewCallerHandler(d)},
 	)
 	d.callerServer = callerServer
 	return err
@@ -218,11 +218,11 @@
 	d.stop = cancel
 	go d.loop.Run()
 	d.servers.Serve()
-	go platformlog.Watch(ctx, d.log, d.o.Store, d.o.Operator.Name, operatorReader{d})
-	record := leased.Record{Addr: d.o.SessionAddr, DataCentre: d.o.DataCentre}
-	go platformlog.PutWithRetry(ctx, d.log, d.o.Store, leased.EntriesTopic, d.o.Host, record.Encode())
-	event.Log(d.log, event.ProcessStarted, "host", d.o.Host, "data_centre", d.o.DataCentre, "callers", d.o.CallerAddr,
-		"inner", d.o.SessionAddr, "incarnation", d.incarnation.String(), "memory_mb", d.o.MemoryMB)
+	go platformlog.Watch(ctx, d.log, d.options.Store, d.options.Operator.Name, operatorReader{d})
+	record := leased.Record{Addr: d.options.SessionAddr, DataCentre: d.options.DataCentre}
+	go platformlog.PutWithRetry(ctx, d.log, d.options.Store, leased.EntriesTopic, d.options.Host, record.Encode())
+	event.Log(d.log, event.ProcessStarted, "host", d.options.Host, "data_centre", d.options.DataCentre, "callers", d.options.CallerAddr,
+		"inner", d.options.SessionAddr, "incarnation", d.incarnation.String(), "memory_mb", d.options.MemoryMB)
 }
 
 // ready reports whether the balancer may send new connections here.
@@ -236,10 +236,10 @@
 func (d *Dispatcher) Stop(ctx context.Context) error {
 	began := time.Now()
 	d.draining.Store(true)
-	event.Log(d.log, event.DrainStarted, "grace_ms", d.o.Grace.Milliseconds())
-	clock.Sleep(ctx, time.Until(began.Add(d.o.Grace-drainReserve)))
+	event.Log(d.log, event.DrainStarted, "grace_ms", d.options.Grace.Milliseconds())
+	clock.Sleep(ctx, time.Until(began.Add(d.options.Grace-drainReserve)))
 	_ = d.loop.Push(func(_ time.Time, s *state) { s.core.Drain() }) // fails only if the loop has stopped
-	deadline := began.Add(d.o.Grace - exitReserve)
+	deadline := began.Add(d.options.Grace - exitReserve)
 	for unanswered := 1; unanswered > 0 && time.Now().Before(deadline) && ctx.Err() == nil; {
 		if err := d.loop.Do(queryTimeout, func(_ time.Time, s *state) { unanswered = s.core.UnansweredJobs() }); err != nil {
 			break
--- a/internal/dispatcher/operator.go
+++ b/internal/dispatcher/operator.go
@@ -14,7 +14,7 @@
 // OnSnapshot implements platformlog.Observer. Evacuations are applied before a configuration,
 // because jobs are accepted as soon as a configuration is in force.
 func (r operatorReader) OnSnapshot(entries []platformlog.Entry, end uint64) {
-	records := r.o.Operator.EvacuationRecords(r.log, entries...)
+	records := r.options.Operator.EvacuationRecords(r.log, entries...)
 	r.push(func(now time.Time, s *state) { s.evacuations.MergeSnapshot(now, records, end) })
 	for _, e := range entries {
 		r.applyConfigEntry(e)
@@ -23,7 +23,7 @@
 
 // OnChange implements platformlog.Observer.
 func (r operatorReader) OnChange(e platformlog.Entry) {
-	for _, record := range r.o.Operator.EvacuationRecords(r.log, e) {
+	for _, record := range r.options.Operator.EvacuationRecords(r.log, e) {
 		r.push(func(now time.Time, s *state) { s.evacuations.MergeRecord(now, record) })
 	}
 	r.applyConfigEntry(e)
@@ -32,10 +32,10 @@
 // applyConfigEntry applies a record if it is a configuration, and ignores other records and
 // deletions.
 func (r operatorReader) applyConfigEntry(e platformlog.Entry) {
-	if e.Key != r.o.Operator.ConfigKey || len(e.Value) == 0 {
+	if e.Key != r.options.Operator.ConfigKey || len(e.Value) == 0 {
 		return
 	}
-	version, err := r.o.ConfigVersion(e.Value)
+	version, err := r.options.ConfigVersion(e.Value)
 	if err != nil {
 		event.Log(r.log, event.ConfigBad, "error", err.Error())
 		return
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -20,7 +20,7 @@
 
 type configNote = wire.ConfigNote
 
-// helloError is a missing or invalid hello at the start of a connection.
+// helloError reports an invalid hello, the first frame of a runner.
 type helloError struct{ reason string }
 
 // Error implements error.
@@ -29,13 +29,13 @@
 // sessions serves the connections of runners. conns is owned by the control goroutine.
 type sessions struct {
 	*Dispatcher
-	options session.Options
-	conns   map[dispatch.ConnID]*session.ToAgentConn
-	lastID  atomic.Uint64
+	sessionOptions session.Options
+	conns          map[dispatch.ConnID]*session.ToAgentConn
+	lastID         atomic.Uint64
 }
 
 func newSessions(d *Dispatcher) *sessions {
-	return &sessions{Dispatcher: d, options: leased.SessionOptions(d.metrics.Sessions), conns: map[dispatch.ConnID]*session.ToAgentConn{}}
+	return &sessions{Dispatcher: d, sessionOptions: leased.SessionOptions(d.metrics.Sessions), conns: map[dispatch.ConnID]*session.ToAgentConn{}}
 }
 
 // Send implements dispatch.Outbox. A frame for a closed connection is dropped: its orders are
@@ -55,7 +55,7 @@
 
 // serve handles requests to session.Path. It returns when the connection has ended.
 func (s *sessions) serve(g *gin.Context) {
-	conn, err := session.Accept(g.Writer, g.Request, s.options)
+	conn, err := session.Accept(g.Writer, g.Request, s.sessionOptions)
 	if err != nil {
 		return // Accept has written the response
 	}
@@ -64,7 +64,7 @@
 	// address closes this one without a hello, which would replace the other session.
 	err = r.loop.Push(func(_ time.Time, st *state) {
 		conn.Send(&wire.ToAgent{Welcome: &wire.Welcome{
-			Version: wire.Version, Incarnation: r.incarnation, Addr: r.o.SessionAddr, DataCentre: r.o.DataCentre, Entries: st.knownEntries(),
+			Version: wire.Version, Incarnation: r.incarnation, Addr: r.options.SessionAddr, DataCentre: r.options.DataCentre, Entries: st.knownEntries(),
 		}})
 	})
 	if err != nil {
@@ -110,17 +110,17 @@
 func (r *runnerSession) handleHello(h *wire.Hello) error {
 	switch {
 	case h == nil:
-		return &helloError{"missing in the first frame"}
+		return &helloError{"it is missing from the first frame"}
 	case h.Version != wire.Version:
 		return &helloError{"unsupported protocol version"}
 	case h.Worker == "":
-		return &helloError{"host name is missing"}
+		return &helloError{"the host name is missing"}
 	}
 	r.helloReceived = true
 	event.Log(r.log, event.SessionOpened, "conn", uint64(r.id), "host", h.Worker, "peer", r.conn.RemoteAddr())
 	return r.loop.Push(func(now time.Time, s *state) {
 		r.conns[r.id] = r.conn
-		s.addEntries(r.o.SessionAddr, h.Entries)
+		s.addEntries(r.options.SessionAddr, h.Entries)
 		s.core.Connect(now, r.id, h)
 		s.core.QueueLoadInterval(r.id, s.loadInterval)
 		s.evacuations.PeerUp(evacuation.PeerID(r.id))
@@ -158,7 +158,7 @@
 // updateLoadInterval sends the runners the minimum time between load reports if it has changed
 // significantly.
 func (s *sessions) updateLoadInterval(st *state) {
-	interval := reporting.Interval(s.o.ProcessorShare, len(s.conns))
+	interval := reporting.Interval(s.options.ProcessorShare, len(s.conns))
 	if len(s.conns) == 0 || !reporting.SignificantChange(interval, st.loadInterval) {
 		return
 	}
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -9,12 +9,12 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// await registers a waiter for the job's answer by calling ask on the control goroutine. It
+// await registers a callback for the job's answer by calling ask on the control goroutine. It
 // writes the answer, or "pending" when the wait ends first, or the fault that ask returned.
 func (a *api) await(g *gin.Context, id job.ID, wait time.Duration,
 	ask func(time.Time, core, owner.AnswerFunc) (func(), error),
 ) {
-	answers := make(chan job.Answer, 1) // buffered: the waiter must not block the control goroutine
+	answers := make(chan job.Answer, 1) // buffered: the callback must not block the control goroutine
 	var stopWaiting func()
 	var askErr error
 	err := a.control.do(func(now time.Time, c core) {
@@ -29,7 +29,7 @@
 	}
 	answer, ok := waitForAnswer(g, answers, wait)
 	if !ok {
-		// If the command queue is full, the waiter stays registered until the job
+		// If the command queue is full, the callback stays registered until the job
 		// ends. The job continues in any case.
 		_ = a.control.post(func(_ time.Time, c core) {
 			stopWaiting()
--- a/internal/entry/catchup.go
+++ b/internal/entry/catchup.go
@@ -43,7 +43,7 @@
 	defer cancel(nil)
 	watch := watchdog.NewWatchdog(catchUpTimeout, cancel)
 	defer watch.Stop()
-	unanswered = e.o.entries()
+	unanswered = e.options.entries()
 	answered := make(chan string, len(unanswered))
 	for _, addr := range unanswered {
 		go e.introduceUntilAnswered(ctx, addr, answered)
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -27,12 +27,12 @@
 
 func newConfiguration(e *Entry) *configuration {
 	self := e.api.owner
-	location := config.Location{DataCentre: e.o.DataCentre, Entry: self.Addr.String()}
+	location := config.Location{DataCentre: e.options.DataCentre, Entry: self.Addr.String()}
 	c := &configuration{replica: config.NewReplica(location, e.clock, e.log), fanOut: config.NewFanOut(nil), changed: make(chan struct{}, 1)}
-	if e.o.LogURL != "" {
+	if e.options.LogURL != "" {
 		c.follower = follower.New(follower.Options{
-			Log: e.o.OpenLog(e.o.LogURL), Replica: c.replica, Clock: e.clock, Logger: e.log,
-			Rand: c.newRand(), SnapshotInterval: e.o.SnapshotInterval,
+			Log: e.options.OpenLog(e.options.LogURL), Replica: c.replica, Clock: e.clock, Logger: e.log,
+			Rand: c.newRand(), SnapshotInterval: e.options.SnapshotInterval,
 		})
 	}
 	return c
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -24,7 +24,7 @@
 func (e *Entry) beginDrain() {
 	e.drainOnce.Do(func() {
 		e.draining.Store(true) // from here on, GET /healthz and GET /v1/token report it
-		event.Log(e.log, event.ProcessStopping, "drain_timeout", e.o.drainTimeout().String())
+		event.Log(e.log, event.ProcessStopping, "drain_timeout", e.options.drainTimeout().String())
 		go e.drain()
 	})
 }
@@ -34,7 +34,7 @@
 // still ask for answers that only this process has. Requests that were forwarded to other
 // entries complete after it is closed, each in its own time.
 func (e *Entry) drain() {
-	deadline := time.Now().Add(e.o.drainTimeout())
+	deadline := time.Now().Add(e.options.drainTimeout())
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	err := e.waitUntilIdle(ctx)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,7 +37,7 @@
 
 // Entry is the entry daemon.
 type Entry struct {
-	o        Options
+	options  Options
 	log      logr.Logger
 	clock    clock.Clock
 	api      *api
@@ -64,7 +64,7 @@
 		_ = listener.Close()
 		return nil, err
 	}
-	e := &Entry{o: o, log: log, clock: clock.NewAnchoredThroughSuspend(), listener: listener, done: make(chan struct{})}
+	e := &Entry{options: o, log: log, clock: clock.NewAnchoredThroughSuspend(), listener: listener, done: make(chan struct{})}
 	metrics, err := newCounters(func() int { return e.control.QueuedCommands() })
 	if err != nil {
 		_ = listener.Close()
@@ -96,8 +96,8 @@
 // buildServer creates the HTTP API with all that it uses, and the server.
 func (e *Entry) buildServer(self job.Owner, out *outbox, metrics *counters) {
 	e.api = &api{
-		log: e.log, clock: e.clock, key: e.o.key(), owner: self, token: self.Token(e.o.key()),
-		dataCentre: e.o.DataCentre, maxTimeout: e.o.MaxTimeout, control: e.control,
+		log: e.log, clock: e.clock, key: e.options.key(), owner: self, token: self.Token(e.options.key()),
+		dataCentre: e.options.DataCentre, maxTimeout: e.options.MaxTimeout, control: e.control,
 		forwarder: forward.New(forward.Options{Log: e.log, Clock: e.clock, Counters: metrics.forward}),
 		unclaimed: newUnclaimed(), metrics: metrics, draining: &e.draining, caughtUp: make(chan struct{}), drain: e.beginDrain,
 		pullConfiguration: func(addr string) { _ = e.introduceOnce(context.Background(), addr) }, // after a failure, the peer's next introduction repeats it
@@ -113,7 +113,7 @@
 	e.server = &http.Server{
 		ConnState: e.unused.Track,
 		Handler:   e.api.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		WriteTimeout: e.o.MaxTimeout + writeSlack,
+		WriteTimeout: e.options.MaxTimeout + writeSlack,
 		// net/http would print its errors to stderr as plain text; they are for debugging only.
 		ErrorLog: slog.NewLogLogger(logr.ToSlogHandler(e.log.V(logging.LevelDebug)), slog.LevelInfo),
 	}
@@ -131,14 +131,14 @@
 			e.finish(errors.Wrap(err, "serve"))
 		}
 	}()
-	event.Log(e.log, event.EntryStarting, "addr", e.Addr(), "entries", e.o.Entries, "log", e.o.LogURL)
+	event.Log(e.log, event.EntryStarting, "addr", e.Addr(), "entries", e.options.Entries, "log", e.options.LogURL)
 	confirmedBy, unanswered := e.catchUp()
-	for _, addr := range e.o.entries() {
+	for _, addr := range e.options.entries() {
 		go e.introduce(addr)
 	}
 	go e.announceChanges()
 	event.Log(e.log, event.ProcessStarted, "addr", e.Addr(), "advertise", e.api.owner.Addr.String(),
-		"incarnation", e.api.owner.Incarnation.String(), "data_centre", e.o.DataCentre, "policy", e.o.Policy,
+		"incarnation", e.api.owner.Incarnation.String(), "data_centre", e.options.DataCentre, "policy", e.options.Policy,
 		"config_version", e.api.config.replica.Get().State.Version, "config_confirmed_by", confirmedBy,
 		"silent_entries", strings.Join(unanswered, ","))
 }
--- a/internal/entry/introduce.go
+++ b/internal/entry/introduce.go
@@ -104,11 +104,11 @@
 }
 
 func (e *Entry) newIntroduction(ctx context.Context, addr string) (*http.Request, error) {
-	id, err := job.NewID(e.api.token, e.clock.Now().Add(introduceInterval), introductionUnique, e.o.key())
+	id, err := job.NewID(e.api.token, e.clock.Now().Add(introduceInterval), introductionUnique, e.options.key())
 	if err != nil {
 		return nil, err
 	}
-	body, err := json.Marshal(peerBody{ID: id.String(), DataCentre: e.o.DataCentre})
+	body, err := json.Marshal(peerBody{ID: id.String(), DataCentre: e.options.DataCentre})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -75,8 +75,8 @@
 
 // Forwarder forwards requests to other entries. It is safe for concurrent use.
 type Forwarder struct {
-	o     Options
-	peers *peers
+	options Options
+	peers   *peers
 }
 
 // New returns a forwarder with the given options.
@@ -93,7 +93,7 @@
 	if o.Counters == nil {
 		o.Counters = NewCounters()
 	}
-	return &Forwarder{o: o, peers: newPeers(o.Clock)}
+	return &Forwarder{options: o, peers: newPeers(o.Clock)}
 }
 
 // Request is a request about one submission, or about several of the same owner.
@@ -129,14 +129,14 @@
 // last one that was pending) or the owner can't be reached. The error is a *fault.Fault with
 // one of the codes OwnerGone and OutcomeUnknown, which are final, and Undecided, which is not.
 func (f *Forwarder) Do(ctx context.Context, r Request) (*Reply, error) {
-	f.o.Counters.Forwarded.Inc(1)
-	event.Log(f.o.Log.V(1), event.JobForwarded, "job", r.ID, "owner", r.Owner.Addr.String(), "method", r.Method)
-	until := f.o.Clock.Now().Add(r.Wait)
+	f.options.Counters.Forwarded.Inc(1)
+	event.Log(f.options.Log.V(1), event.JobForwarded, "job", r.ID, "owner", r.Owner.Addr.String(), "method", r.Method)
+	until := f.options.Clock.Now().Add(r.Wait)
 	failures := 0
 	for {
 		reply, err := f.attempt(ctx, r, f.pollTimeout(r, until))
 		switch {
-		case err == nil && (!reply.pending() || !f.o.Clock.Now().Before(until)):
+		case err == nil && (!reply.pending() || !f.options.Clock.Now().Before(until)):
 			return reply, nil
 		case err == nil:
 			failures = 0
@@ -145,11 +145,11 @@
 			return nil, f.ownerGone(r)
 		default:
 			failures++
-			f.o.Counters.FailedCalls.Inc(1)
+			f.options.Counters.FailedCalls.Inc(1)
 			if failures >= maxAttempts || ctx.Err() != nil {
 				return nil, f.ownerUnreachable(r, err)
 			}
-			sleep(ctx, f.o.RetryDelay)
+			sleep(ctx, f.options.RetryDelay)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 // attempt calls the owner once. pollTimeout is the wait that the call requests.
 func (f *Forwarder) attempt(ctx context.Context, r Request, pollTimeout time.Duration) (*Reply, error) {
 	p := f.peers.get(r.Owner.Addr)
-	reply, err := p.call(ctx, r, pollTimeout, pollTimeout+f.o.ReplyGrace)
+	reply, err := p.call(ctx, r, pollTimeout, pollTimeout+f.options.ReplyGrace)
 	if err != nil && !errors.Is(err, errAnotherIncarnation) {
 		// The cause, such as a network device that has lost its connection state, has
 		// probably broken the idle connections too. Without them the next call opens a
@@ -179,8 +179,8 @@
 // pollTimeout returns how long the owner may delay its reply to the next call. Past the deadline
 // the owner has a final answer, and a longer wait would only delay the detection of its silence.
 func (f *Forwarder) pollTimeout(r Request, until time.Time) time.Duration {
-	now := f.o.Clock.Now()
-	timeout := f.o.LongPollTimeout
+	now := f.options.Clock.Now()
+	timeout := f.options.LongPollTimeout
 	if now.After(r.Deadline.Add(MaxClockSkew)) {
 		timeout = min(timeout, pastDeadlinePollTimeout)
 	}
@@ -191,7 +191,7 @@
 // processes can't listen on the same address, so the owner has ended. It may have started tasks
 // before, and the answers it gave remain valid.
 func (f *Forwarder) ownerGone(r Request) *fault.Fault {
-	f.o.Counters.OwnerGone.Inc(1)
+	f.options.Counters.OwnerGone.Inc(1)
 	return OwnerGone(r.Owner)
 }
 
@@ -205,12 +205,12 @@
 // running. Even a refused connection does not prove that the owner has ended: an earlier call
 // may have reached it, and it may be about to listen again after a network failure.
 func (f *Forwarder) ownerUnreachable(r Request, cause error) *fault.Fault {
-	event.Log(f.o.Log, event.JobUndecided, "job", r.ID, "owner", r.Owner.Addr.String(), "cause", cause.Error())
-	if f.o.Clock.Now().After(r.outcomeUnknownAfter()) {
-		f.o.Counters.OutcomeUnknown.Inc(1)
+	event.Log(f.options.Log, event.JobUndecided, "job", r.ID, "owner", r.Owner.Addr.String(), "cause", cause.Error())
+	if f.options.Clock.Now().After(r.outcomeUnknownAfter()) {
+		f.options.Counters.OutcomeUnknown.Inc(1)
 		return fault.New(fault.OutcomeUnknown, "the owner could not be reached until past the deadline; tasks may have run")
 	}
-	f.o.Counters.Undecided.Inc(1)
+	f.options.Counters.Undecided.Inc(1)
 	undecided := fault.New(fault.Undecided, "the owner can't be reached and is not proved dead; ask again with the same id")
 	undecided.RetryAfterMs = retryAfter.Milliseconds()
 	return undecided
--- a/internal/owner/admit.go
+++ b/internal/owner/admit.go
@@ -88,7 +88,7 @@
 
 // checkLoad applies admission control by load; nil means that the job is admitted.
 func (c *Core) checkLoad(now time.Time, s *job.Submission) *fault.Fault {
-	if c.opts.Policy != PolicyLeastWork || now.Sub(c.startedAt) < admissionStartDelay {
+	if c.options.Policy != PolicyLeastWork || now.Sub(c.startedAt) < admissionStartDelay {
 		return nil
 	}
 	var work, longest float64
@@ -137,7 +137,7 @@
 // shed fails waiting jobs that can no longer be done in time, so that their callers can
 // react and the targets do no work for late answers.
 func (c *Core) shed(now time.Time) {
-	if c.opts.Policy != PolicyLeastWork || now.Sub(c.lastShed) < shedInterval {
+	if c.options.Policy != PolicyLeastWork || now.Sub(c.lastShed) < shedInterval {
 		return
 	}
 	c.lastShed = now
--- a/internal/owner/answer_expiry_test.go
+++ b/internal/owner/answer_expiry_test.go
@@ -29,7 +29,7 @@
 // is nil, the caller stops waiting before the job ends.
 func (l *answerFixture) submitAndComplete(callback AnswerFunc) job.ID {
 	l.last++
-	id, err := job.NewID(l.core.opts.Owner.Token(benchKey), l.now.Add(time.Second), fmt.Sprint(l.last), benchKey)
+	id, err := job.NewID(l.core.options.Owner.Token(benchKey), l.now.Add(time.Second), fmt.Sprint(l.last), benchKey)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	s := &job.Submission{ID: id, Team: "a", Class: "x", Tasks: make([]job.Task, 1)}
 	stop, err := l.core.Submit(l.now, s, callback)
@@ -135,7 +135,7 @@
 // receives the last report on resuming.
 func TestResultAfterTheDeadlineCompletesNothing(t *testing.T) {
 	l := newAnswerFixture(t)
-	id, err := job.NewID(l.core.opts.Owner.Token(benchKey), l.now.Add(time.Second), "frozen", benchKey)
+	id, err := job.NewID(l.core.options.Owner.Token(benchKey), l.now.Add(time.Second), "frozen", benchKey)
 	l.g.Expect(err).NotTo(HaveOccurred())
 	var answer job.Answer
 	s := &job.Submission{ID: id, Team: "a", Class: "x", Tasks: make([]job.Task, 1)}
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -73,7 +73,7 @@
 			c, out := newBenchCore(agents)
 			now := time.UnixMilli(1_800_000_000_000)
 			granted := map[ConnID]uint64{}
-			token := c.opts.Owner.Token(benchKey)
+			token := c.options.Owner.Token(benchKey)
 			b.ResetTimer()
 			for i := 0; out.starts < b.N; i++ {
 				now = now.Add(time.Millisecond)
@@ -97,7 +97,7 @@
 // retention is over.
 func BenchmarkIDHeld(b *testing.B) {
 	c, _ := newBenchCore(1)
-	token := c.opts.Owner.Token(benchKey)
+	token := c.options.Owner.Token(benchKey)
 	now := time.UnixMilli(1_800_000_000_000)
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/owner/choose.go
+++ b/internal/owner/choose.go
@@ -49,7 +49,7 @@
 		Free:        a.target.Capacity.Sub(a.inUse),
 		Rack:        a.rack,
 		DataCentre:  a.dataCentre,
-		Local:       a.dataCentre == c.opts.DataCentre,
+		Local:       a.dataCentre == c.options.DataCentre,
 		MaxInFlight: c.health.MaxInFlight(id, now),
 	}
 }
--- a/internal/owner/configure.go
+++ b/internal/owner/configure.go
@@ -28,8 +28,8 @@
 	s := applied.Settings
 	c.conf = operatorConfig{
 		state:      applied.State,
-		maxJobs:    min(c.opts.MaxJobs, int(s.MaxJobs)),
-		maxTimeout: min(c.opts.MaxTimeout, millis(s.MaxDeadlineMs)),
+		maxJobs:    min(c.options.MaxJobs, int(s.MaxJobs)),
+		maxTimeout: min(c.options.MaxTimeout, millis(s.MaxDeadlineMs)),
 		admission: admission.Limits{
 			SoftQueue: millis(s.SoftQueueMs), HardQueue: millis(s.HardQueueMs),
 			OvertakeFactor: float64(s.OvertakeFactorPercent) / 100,
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -89,8 +89,8 @@
 // Core is the control state. Its methods are not safe for concurrent use.
 type Core struct {
 	sharedState
-	opts Options
-	log  logr.Logger
+	options Options
+	log     logr.Logger
 }
 
 // New returns a core without jobs or agents.
@@ -104,7 +104,7 @@
 	if o.Policy == "" {
 		o.Policy = PolicyLeastWork
 	}
-	c := &Core{sharedState: newSharedState(o), opts: o, log: o.Log}
+	c := &Core{sharedState: newSharedState(o), options: o, log: o.Log}
 	c.addConfiguredPeers(o.PeerAddrs)
 	return c
 }
@@ -135,7 +135,7 @@
 		a.out.Settled = a.settledBelow(c.nextSeq)
 		frame := a.out
 		a.out = wire.ToAgent{}
-		c.opts.Outbox.Send(a.conn, &frame)
+		c.options.Outbox.Send(a.conn, &frame)
 	}
 	c.dirty = c.dirty[:0]
 }
--- a/internal/owner/demand.go
+++ b/internal/owner/demand.go
@@ -27,7 +27,7 @@
 // to affect the sharing of the agent's slots, or if a frame is sent to the agent anyway. The
 // push policies use no credits and report no demand.
 func (c *Core) publishDemand() {
-	if c.opts.Policy.pushes() {
+	if c.options.Policy.pushes() {
 		return
 	}
 	ranks := c.bestRanks()
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -53,7 +53,7 @@
 // anyCandidateAvailable reports whether a task can be sent to some candidate.
 func (c *Core) anyCandidateAvailable() bool {
 	for i := range c.candidates {
-		if c.opts.Policy.pushes() || c.candidates[i].Credits > 0 {
+		if c.options.Policy.pushes() || c.candidates[i].Credits > 0 {
 			return true
 		}
 	}
@@ -107,7 +107,7 @@
 	a.attemptSeqs = append(a.attemptSeqs, seq)
 	a.inUse = a.inUse.Add(t.Demand)
 	l.tasks[task].attempt = at
-	if !c.opts.Policy.pushes() {
+	if !c.options.Policy.pushes() {
 		a.spent++
 	}
 	c.candidates[choice.Index] = c.candidate(now, a)
@@ -131,7 +131,7 @@
 
 // logPlacement logs one placement in Options.LogEvery.
 func (c *Core) logPlacement(l *liveJob, task int, at *attempt, choice placement.Choice) {
-	if c.opts.LogEvery == 0 || c.counts.Starts%uint64(c.opts.LogEvery) != 0 {
+	if c.options.LogEvery == 0 || c.counts.Starts%uint64(c.options.LogEvery) != 0 {
 		return
 	}
 	runnerUp := ""
--- a/internal/owner/intake.go
+++ b/internal/owner/intake.go
@@ -260,7 +260,7 @@
 		}
 		return nil
 	}
-	if !now.Before(id.Deadline) || id.Deadline.Sub(now) > c.opts.MaxTimeout || len(c.jobs) >= c.opts.MaxJobs {
+	if !now.Before(id.Deadline) || id.Deadline.Sub(now) > c.options.MaxTimeout || len(c.jobs) >= c.options.MaxJobs {
 		return fault.New(fault.NotFound, "this owner has not accepted the id")
 	}
 	f := fault.New(fault.Cancelled, "cancelled before the submission came")
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -74,7 +74,7 @@
 // addConfiguredPeers adds the entries from the settings.
 func (c *Core) addConfiguredPeers(addrs []string) {
 	for _, addr := range addrs {
-		if addr != c.opts.Owner.Addr.String() {
+		if addr != c.options.Owner.Addr.String() {
 			c.peers.update(time.Time{}, wire.Peer{Addr: addr}, true)
 		}
 	}
@@ -93,7 +93,7 @@
 func (c *Core) addPeers(now time.Time, reported []wire.Peer) {
 	var added []wire.Peer
 	for _, p := range reported {
-		if !validPeer(p) || p.Addr == c.opts.Owner.Addr.String() || !c.peers.update(now, p, false) {
+		if !validPeer(p) || p.Addr == c.options.Owner.Addr.String() || !c.peers.update(now, p, false) {
 			continue
 		}
 		added = append(added, p)
--- a/internal/owner/sessions.go
+++ b/internal/owner/sessions.go
@@ -35,7 +35,7 @@
 	if a.conn != 0 {
 		event.Log(c.log, event.SessionReplaced, "worker", a.worker, "conn", uint64(conn))
 		delete(c.byConn, a.conn)
-		c.opts.Outbox.Close(a.conn)
+		c.options.Outbox.Close(a.conn)
 	}
 	a.conn, a.lastSeen = conn, now
 	a.dataCentre, a.rack, a.target = h.DataCentre, h.Rack, h.Target
@@ -47,10 +47,10 @@
 	out := c.pendingFrame(a)
 	out.Welcome = &wire.Welcome{
 		Version:     wire.Version,
-		Incarnation: c.opts.Owner.Incarnation,
-		Addr:        c.opts.Owner.Addr.String(),
+		Incarnation: c.options.Owner.Incarnation,
+		Addr:        c.options.Owner.Addr.String(),
 		Entries:     c.peers.list(),
-		DataCentre:  c.opts.DataCentre,
+		DataCentre:  c.options.DataCentre,
 		Leaving:     c.draining,
 	}
 	out.Queries = a.openAttempts()
@@ -94,7 +94,7 @@
 	}
 	if previous.conn != 0 {
 		delete(c.byConn, previous.conn)
-		c.opts.Outbox.Close(previous.conn)
+		c.options.Outbox.Close(previous.conn)
 		previous.conn = 0
 	}
 	event.Log(c.log, event.AgentGone, "worker", a.worker, "incarnation", previous.incarnation.String(),
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -53,8 +53,8 @@
 // Status returns a summary of the state.
 func (c *Core) Status() Status {
 	s := Status{
-		Incarnation: c.opts.Owner.Incarnation.String(),
-		Addr:        c.opts.Owner.Addr.String(),
+		Incarnation: c.options.Owner.Incarnation.String(),
+		Addr:        c.options.Owner.Addr.String(),
 		Draining:    c.draining,
 		PendingJobs: c.pending,
 		KnownIDs:    len(c.jobs),
--- a/internal/runner/dialers.go
+++ b/internal/runner/dialers.go
@@ -235,7 +235,7 @@
 // selectedAddrs returns the addresses of the entries with which to keep sessions. The caller
 // holds the lock.
 func (d *dialers) selectedAddrs() []string {
-	return subset.Choose(d.runner.opts.Host, d.runner.opts.DataCentre, d.candidates(), maxEntrySessions)
+	return subset.Choose(d.runner.options.Host, d.runner.options.DataCentre, d.candidates(), maxEntrySessions)
 }
 
 // candidates returns the known entries. If fewer than maxEntrySessions are reachable, the
--- a/internal/runner/dialers_test.go
+++ b/internal/runner/dialers_test.go
@@ -16,7 +16,7 @@
 
 // newTestDialers returns dialers that are shut down, so that they select entries but dial none.
 func newTestDialers(t *testing.T) *dialers {
-	d := newDialers(&Runner{opts: Options{Host: "host-1", DataCentre: "dc-0"}, log: logr.Discard()})
+	d := newDialers(&Runner{options: Options{Host: "host-1", DataCentre: "dc-0"}, log: logr.Discard()})
 	d.stop() // nothing is dialled
 	t.Cleanup(d.shutdown)
 	return d
--- a/internal/runner/entrysession.go
+++ b/internal/runner/entrysession.go
@@ -86,7 +86,7 @@
 	}
 	s.opened, s.owner = true, w.Incarnation
 	s.conn.Send(&wire.ToEntry{Hello: &wire.Hello{
-		Version: wire.Version, Incarnation: s.incarnation, Worker: s.opts.Host, DataCentre: s.opts.DataCentre, Entries: s.dialers.knownPeers(),
+		Version: wire.Version, Incarnation: s.incarnation, Worker: s.options.Host, DataCentre: s.options.DataCentre, Entries: s.dialers.knownPeers(),
 	}})
 	event.Log(s.log, event.SessionOpened, "conn", uint64(s.id), "entry", s.addr, "owner", w.Incarnation.String())
 	s.enqueue(func(now time.Time, st *state) {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -44,7 +44,7 @@
 	Host, DataCentre string
 	TargetsAddr      string // address for the target's announcements
 	MetricsAddr      string
-	Neighbours       []string      // session addresses of hosts that may run a dispatcher
+	EntryAddrs       []string      // session addresses of hosts that may run a dispatcher
 	Grace            time.Duration // time to finish running tasks on shutdown
 	LeaseLimit       time.Duration // longest lease
 	MemoryMB         int           // the host's memory limit for the process
@@ -88,7 +88,7 @@
 
 // Runner is the daemon on the host of a leased target.
 type Runner struct {
-	opts           Options
+	options        Options
 	log            logr.Logger
 	clock          clock.Clock
 	stall          *clock.StallDetector
@@ -110,7 +110,7 @@
 func New(o Options, log logr.Logger) (*Runner, error) {
 	leased.LimitMemory(o.MemoryMB)
 	r := &Runner{
-		opts: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold),
+		options: o, log: log, clock: clock.NewAnchored(), stall: clock.NewStallDetector(clock.StallThreshold),
 		incarnation: job.NewIncarnation(), renewRequested: make(chan struct{}, 1),
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
@@ -131,7 +131,7 @@
 // newState returns the control state. Configurations are only replicated, not used.
 func (r *Runner) newState() *state {
 	s := &state{sessions: map[runs.ConnID]*entrySession{}}
-	s.table = runs.New(runs.Options{Log: r.log, Target: (*targetCalls)(r), Outbox: s, DataCentre: r.opts.DataCentre, LeaseLimit: r.opts.LeaseLimit})
+	s.table = runs.New(runs.Options{Log: r.log, Target: (*targetCalls)(r), Outbox: s, DataCentre: r.options.DataCentre, LeaseLimit: r.options.LeaseLimit})
 	s.config = &confsync.Replica{Apply: func(_ time.Time, version uint64, _ []byte) error {
 		event.Log(r.log, event.ConfigApplied, "version", version, "kept_for", "entries")
 		return nil
@@ -200,8 +200,8 @@
 	page := gin.New()
 	page.GET(leased.MetricsPath, leased.Metrics(r.log, r.metrics.Registry, r.refreshMetrics))
 	_, err := r.servers.Listen(r.log, leased.ConnLimits{HeaderTimeout: headerTimeout}, nil,
-		leased.Endpoint{Purpose: "the target", Addr: r.opts.TargetsAddr, Handler: r.opts.NewTargetHandler(r)},
-		leased.Endpoint{Purpose: "metrics", Addr: r.opts.MetricsAddr, Handler: page},
+		leased.Endpoint{Purpose: "the target", Addr: r.options.TargetsAddr, Handler: r.options.NewTargetHandler(r)},
+		leased.Endpoint{Purpose: "metrics", Addr: r.options.MetricsAddr, Handler: page},
 	)
 	return err
 }
@@ -210,12 +210,12 @@
 func (r *Runner) Start() {
 	go r.loop.Run()
 	r.servers.Serve()
-	r.AddEntryAddrs(r.opts.Neighbours)
+	r.AddEntryAddrs(r.options.EntryAddrs)
 	go r.restoreTarget(r.ctx)
-	go platformlog.Watch(r.ctx, r.log, r.opts.Store, leased.EntriesTopic, platformlog.ObserverFunc(r.handleEntryRecord))
+	go platformlog.Watch(r.ctx, r.log, r.options.Store, leased.EntriesTopic, platformlog.ObserverFunc(r.handleEntryRecord))
 	go r.renewLoop(r.ctx)
-	event.Log(r.log, event.ProcessStarted, "host", r.opts.Host, "data_centre", r.opts.DataCentre,
-		"incarnation", r.incarnation.String(), "memory_mb", r.opts.MemoryMB)
+	event.Log(r.log, event.ProcessStarted, "host", r.options.Host, "data_centre", r.options.DataCentre,
+		"incarnation", r.incarnation.String(), "memory_mb", r.options.MemoryMB)
 }
 
 // AddEntryAddrs adds addresses that may be those of dispatchers. Each is dialled if it is
@@ -261,10 +261,10 @@
 // within Options.Grace.
 func (r *Runner) Stop(ctx context.Context) error {
 	startedAt := time.Now()
-	event.Log(r.log, event.DrainStarted, "grace_ms", r.opts.Grace.Milliseconds())
+	event.Log(r.log, event.DrainStarted, "grace_ms", r.options.Grace.Milliseconds())
 	r.enqueue(func(now time.Time, s *state) { s.table.Drain(now) })
 	left := 1
-	for until := startedAt.Add(r.opts.Grace - shutdownReserve); left > 0 && time.Now().Before(until) && ctx.Err() == nil; {
+	for until := startedAt.Add(r.options.Grace - shutdownReserve); left > 0 && time.Now().Before(until) && ctx.Err() == nil; {
 		if err := r.loop.Do(time.Second, func(_ time.Time, s *state) { left = s.table.Runs() }); err != nil {
 			break
 		}
--- a/internal/runner/target.go
+++ b/internal/runner/target.go
@@ -34,9 +34,9 @@
 			continue
 		}
 		sentAt := r.clock.Now()
-		listing, err := r.opts.Target.Renew(call)
+		listing, err := r.options.Target.Renew(call)
 		if err != nil {
-			r.enqueue(func(now time.Time, s *state) { s.table.RenewFailed(now, call, r.opts.ClassifyRenewError(err)) })
+			r.enqueue(func(now time.Time, s *state) { s.table.RenewFailed(now, call, r.options.ClassifyRenewError(err)) })
 			r.waitForRenewal(ctx, retryDelay)
 			retryDelay = repeatedRenewRetryDelay
 			continue
@@ -65,7 +65,7 @@
 	r := (*Runner)(c)
 	go func() {
 		sentAt := time.Now()
-		answer, clockMs := r.opts.Target.Start(call)
+		answer, clockMs := r.options.Target.Start(call)
 		r.metrics.startUs.Update(time.Since(sentAt).Microseconds())
 		r.enqueue(func(now time.Time, s *state) { s.table.Started(now, call, answer, clockMs) })
 	}()
@@ -75,7 +75,7 @@
 func (c *targetCalls) Stop(call runs.StopCall) {
 	r := (*Runner)(c)
 	go func() {
-		answer := r.opts.Target.Stop(call)
+		answer := r.options.Target.Stop(call)
 		r.enqueue(func(now time.Time, s *state) { s.table.Stopped(now, call, answer) })
 	}()
 }
--- a/internal/runner/targetrecord.go
+++ b/internal/runner/targetrecord.go
@@ -25,12 +25,12 @@
 
 // memory is the stored record of a host's target.
 type memory struct {
-	Name     string     `json:"name"`
-	BornMs   int64      `json:"born_ms"` // start time, in Unix milliseconds
-	Service  string     `json:"service"`
-	Labels   []string   `json:"labels,omitempty"`
-	Capacity job.Demand `json:"capacity"`
-	Leaving  bool       `json:"leaving,omitempty"`
+	Name      string     `json:"name"`
+	StartedMs int64      `json:"born_ms"` // start time, in Unix milliseconds
+	Service   string     `json:"service"`
+	Labels    []string   `json:"labels,omitempty"`
+	Capacity  job.Demand `json:"capacity"`
+	Leaving   bool       `json:"leaving,omitempty"`
 	// DataCentre is the data centre that the target announced.
 	DataCentre string `json:"data_centre,omitempty"`
 }
@@ -51,25 +51,25 @@
 	}
 	value, err := json.Marshal(m)
 	if err != nil {
-		event.Log(r.log, event.BadFrame, "topic", recordTopic(r.opts.Host), "error", err.Error())
+		event.Log(r.log, event.BadFrame, "topic", recordTopic(r.options.Host), "error", err.Error())
 		return
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.cancelOlderWrite = cancel
-	go platformlog.PutWithRetry(ctx, r.log, r.opts.Store, recordTopic(r.opts.Host), r.opts.Host, value)
+	go platformlog.PutWithRetry(ctx, r.log, r.options.Store, recordTopic(r.options.Host), r.options.Host, value)
 }
 
 // restoreTarget reads the target's record and restores it into the control state. If the
 // store does not answer, it is not retried: the target's next announcement replaces it.
 func (r *Runner) restoreTarget(ctx context.Context) {
-	topic := recordTopic(r.opts.Host)
-	entries, _, err := r.opts.Store.Newest(ctx, topic)
+	topic := recordTopic(r.options.Host)
+	entries, _, err := r.options.Store.Newest(ctx, topic)
 	if err != nil {
 		event.Log(r.log, event.LogUnreachable, "topic", topic, "error", err.Error())
 		return
 	}
 	for _, e := range entries {
-		if e.Key != r.opts.Host || len(e.Value) == 0 {
+		if e.Key != r.options.Host || len(e.Value) == 0 {
 			continue
 		}
 		var m memory
@@ -78,7 +78,7 @@
 			return
 		}
 		a := runs.Announcement{
-			Incarnation: runs.Incarnation{Name: m.Name, StartedMs: m.BornMs}, Service: m.Service, Labels: m.Labels, Capacity: m.Capacity, Leaving: m.Leaving, DataCentre: m.DataCentre,
+			Incarnation: runs.Incarnation{Name: m.Name, StartedMs: m.StartedMs}, Service: m.Service, Labels: m.Labels, Capacity: m.Capacity, Leaving: m.Leaving, DataCentre: m.DataCentre,
 		}
 		r.enqueue(func(now time.Time, s *state) { s.table.Restore(now, a) })
 		r.requestRenewal()
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -136,7 +136,7 @@
 
 // Guards against a start beyond the capacity of a target that does not enforce it: a restarted
 // agent knows the target only from a record that may be older than its last change.
-func TestUnguardedTargetStartsNothingBeforeItsAnnouncement(t *testing.T) {
+func TestTargetIgnoringCapacityStartsNothingBeforeItsAnnouncement(t *testing.T) {
 	h := newHarness(t)
 	h.Table = New(Options{Log: h.log, Target: h.target, Outbox: h.outbox, LeaseLimit: time.Second})
 	h.Restore(h.now, Announcement{Incarnation: h.incarnation, Service: "s", Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000}})
--- a/internal/runs/evacuate.go
+++ b/internal/runs/evacuate.go
@@ -31,7 +31,7 @@
 }
 
 // dataCentre returns the target's data centre, by default the agent's.
-func (t *Table) dataCentre() string { return cmp.Or(t.target.DataCentre, t.opts.DataCentre) }
+func (t *Table) dataCentre() string { return cmp.Or(t.target.DataCentre, t.options.DataCentre) }
 
 // rejectQueuedIfEvacuated returns all queued orders at once if the target's data centre is
 // evacuated: their callers want answers within a fraction of a second.
--- a/internal/runs/listing.go
+++ b/internal/runs/listing.go
@@ -130,7 +130,7 @@
 	}
 	event.Log(t.log, event.ForeignRun, "job", id.Task.Job, "task", id.Task.Index, "run", id.Number, "target", t.target.Incarnation.Name)
 	t.foreignRuns[id] = t.now
-	t.opts.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: id, Timeout: t.callTimeout()})
+	t.options.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: id, Timeout: t.callTimeout()})
 }
 
 // RenewFailed handles a renewal that returned no listing.
--- a/internal/runs/load.go
+++ b/internal/runs/load.go
@@ -52,7 +52,7 @@
 		}
 		s.outcomes, s.configNote, s.evacuations, s.crashes, s.sendTarget, s.sendLoad = nil, nil, nil, nil, false, false
 		s.loadStale, s.loadSentAt = false, now
-		t.opts.Outbox.Send(s.conn, &wire.ToEntry{Leased: f})
+		t.options.Outbox.Send(s.conn, &wire.ToEntry{Leased: f})
 	}
 }
 
--- a/internal/runs/orders.go
+++ b/internal/runs/orders.go
@@ -47,7 +47,7 @@
 func (t *Table) DisconnectAll(now time.Time) {
 	for conn := range t.sessions {
 		t.Disconnect(now, conn)
-		t.opts.Outbox.Close(conn)
+		t.options.Outbox.Close(conn)
 	}
 }
 
@@ -193,7 +193,7 @@
 
 func (t *Table) callStart(r *run) {
 	r.startCalledAt = t.now
-	t.opts.Target.Start(StartCall{
+	t.options.Target.Start(StartCall{
 		Incarnation: t.target.Incarnation, Token: t.token, Run: r.id, Spec: r.order.Spec, LeaseUntilMs: t.leaseUntil(),
 		Timeout: t.callTimeout(),
 	})
--- a/internal/runs/retire.go
+++ b/internal/runs/retire.go
@@ -26,7 +26,7 @@
 func (t *Table) closeRetired() {
 	for conn, s := range t.sessions {
 		if s.retiring && len(s.runs) == 0 && !t.now.Before(s.closeAfter) {
-			t.opts.Outbox.Close(conn)
+			t.options.Outbox.Close(conn)
 		}
 	}
 }
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -227,9 +227,9 @@
 
 // tableState is the state of a Table.
 type tableState struct {
-	opts Options
-	log  logr.Logger
-	now  time.Time
+	options Options
+	log     logr.Logger
+	now     time.Time
 
 	sessions map[ConnID]*session
 	runs     map[RunID]*run
@@ -283,7 +283,7 @@
 // New returns an empty table.
 func New(o Options) *Table {
 	return &Table{&tableState{
-		opts: o, log: o.Log, sessions: map[ConnID]*session{}, runs: map[RunID]*run{}, tasks: map[Task]*run{},
+		options: o, log: o.Log, sessions: map[ConnID]*session{}, runs: map[RunID]*run{}, tasks: map[Task]*run{},
 		foreignRuns: map[RunID]time.Time{}, evacuated: map[string]struct{}{}, health: newRating(), meanAnswerMs: initialAnswerMs,
 	}}
 }
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -323,7 +323,7 @@
 // and the fencing token need the target's clock.
 func TestRestoredTargetAnswersBeforeAnythingStarts(t *testing.T) {
 	h := newHarness(t)
-	fresh := New(h.opts)
+	fresh := New(h.options)
 	fresh.Restore(h.now, Announcement{Incarnation: h.incarnation, Service: "s", Capacity: h.Table.target.Capacity})
 	h.Table = fresh
 	h.Connect(h.now, testConn)
@@ -341,7 +341,7 @@
 // nothing is started on it before it has announced its capacity.
 func TestRestoredTargetWasReplaced(t *testing.T) {
 	h := newHarness(t)
-	h.Table = New(h.opts)
+	h.Table = New(h.options)
 	h.Restore(h.now, Announcement{Incarnation: Incarnation{Name: "old"}, Service: "s"})
 	call, _ := h.NextRenewal(h.now)
 	h.RenewFailed(h.now, call, Replaced)
--- a/internal/runs/stop.go
+++ b/internal/runs/stop.go
@@ -25,7 +25,7 @@
 func (t *Table) callStop(r *run) {
 	r.stopInFlight, r.stopCalledAt = true, t.now
 	r.stopAttempts++
-	t.opts.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: r.id, Timeout: t.callTimeout()})
+	t.options.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: r.id, Timeout: t.callTimeout()})
 }
 
 // Stopped handles the answer to a stop.
@@ -64,7 +64,7 @@
 	for id, calledAt := range t.foreignRuns {
 		if t.now.Sub(calledAt) > stopRetryInterval {
 			t.foreignRuns[id] = t.now
-			t.opts.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: id, Timeout: t.callTimeout()})
+			t.options.Target.Stop(StopCall{Incarnation: t.target.Incarnation, Token: t.token, Run: id, Timeout: t.callTimeout()})
 		}
 	}
 }
--- a/internal/runs/target.go
+++ b/internal/runs/target.go
@@ -64,12 +64,12 @@
 // leaseUntil returns the end, on the target's clock, of the longest lease that it would grant
 // now.
 func (t *Table) leaseUntil() int64 {
-	return t.clockMs + t.now.Sub(t.clockAt).Milliseconds() + t.opts.LeaseLimit.Milliseconds()
+	return t.clockMs + t.now.Sub(t.clockAt).Milliseconds() + t.options.LeaseLimit.Milliseconds()
 }
 
 // extendLease records that the target granted a lease in a call that it answered now.
 func (t *Table) extendLease() {
-	end := t.now.Add(time.Duration(float64(t.opts.LeaseLimit) * clockDriftFactor))
+	end := t.now.Add(time.Duration(float64(t.options.LeaseLimit) * clockDriftFactor))
 	if end.After(t.leaseEnd) {
 		t.leaseEnd = end
 	}
--- a/internal/session/conn.go
+++ b/internal/session/conn.go
@@ -21,8 +21,8 @@
 
 // sequenced has the common methods of pointers to both frame types.
 type sequenced interface {
-	Stamp(seq, heard uint64)
-	Sequence() (seq, heard uint64)
+	Stamp(seq, ack uint64)
+	Sequence() (seq, ack uint64)
 	IsHeartbeat() bool
 	EstimatedBytes() int
 }
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -29,7 +29,7 @@
 least-slack-first|internal/runs/orders.go|s/return a.startBy.Compare(b.startBy)/return a.receivedAt.Compare(b.receivedAt)/
 giving-back-late|internal/dispatch/place.go|s/min(slackMs+slackToleranceMs, callerMs)/callerMs/
 admission|internal/dispatch/intake.go|s/admitFactor = 1.1/admitFactor = 100/
-moving-overdue|internal/dispatch/overdue.go|s/overdueFactor = 4$/overdueFactor = 1000/;s/shunnedFactor = 2$/shunnedFactor = 1000/
+moving-overdue|internal/dispatch/overdue.go|s/overdueFactor = 4$/overdueFactor = 1000/;s/rejectingFactor = 2$/rejectingFactor = 1000/
 repeated-starts|internal/runs/target.go|s/maxStartRetries = 2/maxStartRetries = 0/
 records-of-targets|internal/runner/runner.go|s/	go r.restoreTarget(r.ctx)//
 data-centre|internal/dispatch/place.go|s/localHopMs, remoteHopMs = 3, 6/localHopMs, remoteHopMs = 3, 3/
