--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -10,8 +10,8 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// reportCrash makes an agent report a crash of its target, or that the target is silent or
-// answers again, with a running task of each job. All open orders of the session end as
+// reportCrash makes an agent report that its target has crashed, does not answer or answers
+// again, depending on fate, with a running task of each job. All open orders of the session end as
 // stopped.
 func (h *harness) reportCrash(id ConnID, fate wire.Fate, jobs ...string) {
 	c := wire.Crash{Target: "t" + string(rune('a'+id)), StartedMs: 1, Fate: fate}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -9,7 +9,7 @@
 // run" only if no order for it was ever sent or every order is proved not to have
 // run. And the runs of a job are over before its caller may send it again: its orders
 // are recalled as soon as the caller disconnects, and an agent that loses contact with
-// an entry stops what it runs for it.
+// an entry stops the runs that this entry has ordered.
 //
 // Admission is decided when a job arrives. Its tasks are placed on the agents' targets
 // by predicted end, and a job whose predicted end is too far past its objective is
--- a/internal/dispatch/estimate.go
+++ b/internal/dispatch/estimate.go
@@ -11,9 +11,9 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// maxQueues limits the queues with a calibration or a margin. It suffices for 140 teams with
-// a few queues each. Because queues are added and removed by configurations, all entries
-// are dropped at the limit; a queue in use is calibrated again after some tens of tasks.
+// maxQueues limits the number of calibrations, and that of margins. It suffices for 140 teams
+// with a few queues each. Configurations add and remove queues, so at the limit the whole map
+// is cleared; a queue in use is calibrated again after some tens of tasks.
 const maxQueues = 1024
 
 // calibration returns the correction of a queue's estimates, and creates it if needed.
--- a/internal/dispatch/intake.go
+++ b/internal/dispatch/intake.go
@@ -202,7 +202,7 @@
 
 // Abandon ends a job whose caller has disconnected. The caller may soon send the job to
 // another entry, and its runs here must be over by then. A job with further callers
-// continues.
+// continues; a resubmission that waits for earlier runs is dropped.
 func (c *Core) Abandon(now time.Time, id string) {
 	c.now = now
 	l := c.jobs.byID[id]
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -16,7 +16,7 @@
 	DependsOn    []int         // indexes of earlier steps that must be done before this one starts
 	Label        string        // label that a target must have; empty: any target
 	DataRack     string        // label of the rack with its data; empty: no preference
-	MaxPerTarget int           // limit on tasks of the step on one target; 0: no limit
+	MaxPerTarget int           // limit on tasks of the step on one target, counting open tasks of other steps; 0: no limit
 }
 
 // Job is a submission. It is never stored: the caller waits for the answer, and sends
--- a/internal/dispatch/overdue.go
+++ b/internal/dispatch/overdue.go
@@ -18,8 +18,8 @@
 	// actual work each deviate by two fifths. If both were log-normal, one task in a
 	// hundred would take four times as long for that reason alone.
 	overdueFactor = 4
-	// rejectingFactor is the same factor for a target that its agent reports as making no
-	// progress.
+	// rejectingFactor is the same factor for a target whose agent asks for no new
+	// tasks, because the target rejects starts or most of its tasks are stalled.
 	rejectingFactor = 2
 	// overdueMargin is added to the limit, so that tasks of some tens of milliseconds
 	// are not stopped because of one short stall of a host.
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -86,7 +86,7 @@
 	for i := range a.uncounted {
 		cand.Reserve(a.uncounted[i].task, a.uncounted[i].index)
 	}
-	cand.StepTasks = 0
+	cand.JobTasks = 0
 	return cand
 }
 
@@ -170,8 +170,8 @@
 	}
 }
 
-// countOpenTasks adds the job's open tasks to the candidates, for the limit of tasks per
-// target.
+// countOpenTasks adds the job's open tasks, of all steps, to the candidates, for the limit of
+// tasks per target.
 func (c *Core) countOpenTasks(l *liveJob) {
 	for i := range l.tasks {
 		at := l.tasks[i].attempt
@@ -179,7 +179,7 @@
 			continue
 		}
 		if k := slices.Index(c.candidateAgents, at.agent); k >= 0 {
-			c.candidates[k].StepTasks++
+			c.candidates[k].JobTasks++
 		}
 	}
 }
@@ -219,9 +219,10 @@
 	return orderBytes + frameBytes + len(l.Spec)
 }
 
-// nextRunNumber returns the run number of a new start. It is higher than every earlier one
-// of this entry, including those of earlier submissions of the job. Because it follows the
-// time of day, it is also higher than those of other entries whose clocks agree.
+// nextRunNumber returns the run number of a new start. Apart from runOffset, it is higher than
+// every earlier one of this entry, including those of earlier submissions of the job. Because
+// it follows the time of day, it is also higher than those of other entries whose clocks
+// agree.
 func (c *Core) nextRunNumber(l *liveJob) uint64 {
 	c.lastRun = max(c.lastRun+1, uint64(max(c.options.Now().UnixMilli()-runEpochMs, 1)))
 	return c.lastRun + l.runOffset
--- a/internal/dispatch/sessions.go
+++ b/internal/dispatch/sessions.go
@@ -145,7 +145,7 @@
 // EvacuatedDataCentres returns the number of evacuated data centres.
 func (c *Core) EvacuatedDataCentres() int { return len(c.evacuated) }
 
-// QueueEvacuations queues evacuation records for a session.
+// QueueEvacuations queues evacuation statements for a session.
 func (c *Core) QueueEvacuations(conn ConnID, statements []wire.Evacuation) {
 	a := c.agents[conn]
 	if a == nil {
--- a/internal/scheduler/earliest/earliest.go
+++ b/internal/scheduler/earliest/earliest.go
@@ -29,9 +29,9 @@
 	Speed       float64 // relative to a target of speed 1
 	RoundTripMs float64 // network time to the target and back
 	FailureRate float64 // share of its recent tasks that failed, 0 to 1
-	StepTasks   int     // number of tasks of the step placed on the target
+	JobTasks    int     // number of open tasks of the job, of all steps, on the target
 	// BodyTransmitMs is the time for which the entry's link is busy sending the job's body. It
-	// applies to the first task of the step on the target.
+	// applies to the first task of the job on the target.
 	BodyTransmitMs float64
 }
 
@@ -41,7 +41,7 @@
 	EstimateMs float64 // expected run time at speed 1
 	// RemainingMs is the time left until the task must end for its job to meet the objective.
 	RemainingMs float64
-	// MaxPerTarget bounds the number of the step's tasks on one target; 0: no bound.
+	// MaxPerTarget bounds Candidate.JobTasks; 0: no bound.
 	MaxPerTarget int
 	// RemoteFactor multiplies the run time on candidates for which IsLocal is false.
 	RemoteFactor float64
@@ -72,7 +72,7 @@
 	best, bestCost := Choice{Index: None}, 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		if !t.Demand.Fits(c.Total) || t.MaxPerTarget > 0 && c.StepTasks >= t.MaxPerTarget || t.Fits != nil && !t.Fits(i) {
+		if !t.Demand.Fits(c.Total) || t.MaxPerTarget > 0 && c.JobTasks >= t.MaxPerTarget || t.Fits != nil && !t.Fits(i) {
 			continue
 		}
 		startMs, runMs := c.startMs(&t.Demand), c.runMs(&t, i)
@@ -113,7 +113,7 @@
 // TransmitMs returns how long the entry's link is busy sending the task's order: 0 if the job's
 // body is sent to the target already.
 func (c *Candidate) TransmitMs() float64 {
-	if c.StepTasks > 0 {
+	if c.JobTasks > 0 {
 		return 0
 	}
 	return c.BodyTransmitMs
@@ -162,9 +162,10 @@
 	return waitFactor*(c.WaitMs+c.AddedWaitMs) + waitMarginMs
 }
 
-// Reserve includes a task placed on the candidate, which has index i, in the candidate's state.
+// Reserve includes a task placed on the candidate, which has index i, in the candidate's state:
+// free capacity, wait and number of tasks.
 func (c *Candidate) Reserve(t Task, i int) {
-	c.StepTasks++
+	c.JobTasks++
 	if !t.Demand.Fits(c.Free) {
 		c.AddedWaitMs += c.runMs(&t, i) * float64(t.Demand.CPUMilli) / float64(max(c.Total.CPUMilli, 1))
 	}
--- a/internal/scheduler/earliest/earliest_test.go
+++ b/internal/scheduler/earliest/earliest_test.go
@@ -89,7 +89,7 @@
 func TestNoCandidate(t *testing.T) {
 	g := NewWithT(t)
 	used := idle(1)
-	used.StepTasks = 1
+	used.JobTasks = 1
 	g.Expect(Choose(Task{Demand: cores(17)}, []Candidate{idle(1)}).Index).To(Equal(None))
 	g.Expect(Choose(Task{Demand: cores(1), MaxPerTarget: 1}, []Candidate{used}).Index).To(Equal(None))
 	g.Expect(Choose(Task{Demand: cores(1)}, nil).Index).To(Equal(None))
--- a/internal/scheduler/earliest/simulation_test.go
+++ b/internal/scheduler/earliest/simulation_test.go
@@ -68,8 +68,8 @@
 	return candidates
 }
 
-// simulate returns the share of the jobs that met their callers' objective. Work and
-// estimates are each off by two fifths at random.
+// simulate returns the share of the jobs that met their callers' objective. Run times and the
+// errors of estimates are random, with standard deviations of 0.4 and 0.3 of their logarithms.
 func (f *fleet) simulate(w workload, jobs int) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
 	f.runs = make([][]run, len(f.speeds))
