--- a/internal/runs/orders.go
+++ b/internal/runs/orders.go
@@ -103,9 +103,9 @@
 	t.queue = slices.Insert(t.queue, at, r)
 }
 
-// compareStartBy orders the queue by the latest time at which each task can start and meet its
-// deadline. If any order lets all queued tasks meet their deadlines, this one does, whatever the
-// mix of short and long tasks.
+// compareStartBy orders the queue by the latest time at which each task can start for its job to
+// be in time. A queue that can be served in time is served in time in this order, whatever the mix
+// of short and long tasks.
 func compareStartBy(a, b *run) int { return a.startBy.Compare(b.startBy) }
 
 // refuseReason returns why a new order is not accepted, or NotRunNone.
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -126,8 +126,8 @@
 
 // Listing is a target's answer to a RenewCall.
 type Listing struct {
-	ClockMs   int64
-	StartedMs int64 // 0: not reported
+	ClockMs   int64 // reading of the target's clock
+	StartedMs int64 // of the answering incarnation; 0: not reported
 	Running   []RunID
 	Ended     []EndedRun
 	// StaleToken reports that the target has seen a higher token and ignored the call.
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -261,7 +261,7 @@
 
 // A long task runs when a renewal is called, short ones start after it, and the answer is lost.
 // Until the call times out the agent sees no ends: the short tasks seem stalled, their target
-// counts as stalled or unreachable, and jobs whose tasks are done are abandoned. Both are decided
+// counts as stalled or unreachable, and jobs whose tasks are done are given up. Both are decided
 // after 250 ms at the earliest.
 func TestLostRenewalTimesOutInTime(t *testing.T) {
 	h := newHarness(t)
@@ -298,7 +298,7 @@
 	h.Expect(h.currentLoad().Speed).To(BeNumerically("<", 0.3))
 }
 
-// Answers of a healthy target are lost, sometimes two in a row. Its jobs must not be abandoned
+// Answers of a healthy target are lost, sometimes two in a row. Its jobs must not be given up
 // for that: callers would be told that the outcome is unknown.
 func TestTwoLostAnswersAreNoOutage(t *testing.T) {
 	h := newHarness(t)
@@ -390,7 +390,7 @@
 }
 
 // A target refuses four calls in five and serves the fifth. When each refusal counted as an
-// outage, its jobs were abandoned after 40 ms although their tasks were still running.
+// outage, its jobs were given up after 40 ms although their tasks were still running.
 func TestSomeRefusedCallsAreNoOutage(t *testing.T) {
 	h := newHarness(t)
 	h.sendOrder(testConn, 1, task("a", 0), 7)
--- a/internal/runs/target.go
+++ b/internal/runs/target.go
@@ -29,7 +29,7 @@
 	// A start or a stop times out after timeoutFactor times the mean time to an answer, within
 	// minCallTimeout and maxCallTimeout. A target on the same host nearly always answers within a
 	// few milliseconds; an unanswered start is fenced off, and the earlier that happens, the more
-	// often its task still meets its deadline elsewhere. The mean is measured because a slow host
+	// often its task is still in time elsewhere. The mean is measured because a slow host
 	// takes longer for every call.
 	initialAnswerMs  = 2.5
 	timeoutFactor    = 9
@@ -43,7 +43,7 @@
 	maxStartRetries = 2
 	// unreachableAfter is how long a target may leave calls unanswered before it counts as
 	// unreachable. Where one answer in twenty is lost, two consecutive renewals fail every second
-	// somewhere in a fleet; if that were enough, the jobs of a healthy target would be abandoned
+	// somewhere in a fleet; if that were enough, the jobs of a healthy target would be given up
 	// each time.
 	unreachableAfter = 250 * time.Millisecond
 	// stoppingRenewWait is the wait of a renewal while a run is being stopped: its task can't go
