--- a/internal/scheduler/admission/admission.go
+++ b/internal/scheduler/admission/admission.go
@@ -33,7 +33,8 @@
 	// refused for that.
 	fairShareTolerance = 0.5
 	// SoftQueue and HardQueue are the same bounds as absolute times, for jobs with a distant
-	// deadline or none. Near capacity, queues of several seconds form and dissolve by
+	// deadline or none. While the whole queue exceeds HardQueue, every job is refused. Near
+	// capacity, queues of several seconds form and dissolve by
 	// chance, and small jobs overtake them; refusing work because of them would leave the
 	// targets idle later.
 	SoftQueue = 10 * time.Second
--- a/internal/scheduler/crashloop/simulation_test.go
+++ b/internal/scheduler/crashloop/simulation_test.go
@@ -173,7 +173,7 @@
 	return left
 }
 
-// simulateSeeds returns the sum over several seeds.
+// simulateSeeds returns the sum over five seeds; maxPerCrasher is the maximum.
 func simulateSeeds(s scenario, rule func([]evidence) bool) cost {
 	var sum cost
 	for seed := range uint64(5) {
--- a/internal/scheduler/headroom/headroom.go
+++ b/internal/scheduler/headroom/headroom.go
@@ -43,7 +43,8 @@
 // RecordOutcome records the outcome of an admitted job of any queue, given the priority of that
 // queue. A job is late if it was answered after its objective, or given up for lack of time. Late
 // jobs increase the margins of their own queue and of less urgent ones, whose jobs use the capacity
-// that they lack; they don't affect the margins of more urgent queues.
+// that they lack. The outcomes of queues less urgent than the margin's own are ignored: a queue
+// never waits for a less urgent one.
 func (m *Margin) RecordOutcome(now time.Time, priority int, late bool) {
 	m.decay(now)
 	switch {
--- a/internal/scheduler/health/tracker.go
+++ b/internal/scheduler/health/tracker.go
@@ -117,7 +117,7 @@
 }
 
 // Observe records one outcome of an agent's task and reports whether the agent's rating
-// changed.
+// changed. The rating depends only on ok, which callers set for Succeeded.
 func (t *Tracker) Observe(id uint64, ok bool, outcome Outcome, now time.Time) (changed bool) {
 	a := t.agents[id]
 	if a == nil {
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -93,7 +93,8 @@
 // Options select the policy.
 type Options struct {
 	Policy Policy
-	// NoHold disables holding: a task starts on the best target with a credit.
+	// NoHold disables holding for a busy target: a task starts whenever a target with a
+	// credit is feasible.
 	NoHold bool
 	// Random is the source of randomness of the baseline policies.
 	Random *rand.Rand
--- a/internal/scheduler/queueing/queueing_test.go
+++ b/internal/scheduler/queueing/queueing_test.go
@@ -18,7 +18,7 @@
 
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-var _ = Describe("the order", func() {
+var _ = Describe("the queueing order", func() {
 	// Guards against first come, first served: a check of one task that follows a job of 290
 	// tasks would wait for seconds behind unrelated work, and its answer would come after the
 	// valve it is for has opened.
