--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -64,8 +64,10 @@
 
 // Counts are the counters of a Core since it was created.
 type Counts struct {
+	// Jobs; Repeated counts submissions of a known job.
 	Accepted, Refused, Complete, Failed, Unknown, Abandoned, Repeated uint64
-	Orders, Recalls, NotRun, Stopped, Moved                           uint64
+	// Orders; Moved counts those that ended without a result while their job needed one.
+	Orders, Recalls, NotRun, Stopped, Moved uint64
 }
 
 // coreState is the blackboard that the controllers share.
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -109,8 +109,8 @@
 
 // attempt is one order for a task, until its outcome is known.
 type attempt struct {
-	seq      uint64
-	run      uint64
+	seq      uint64 // of the order in the agent's session
+	run      uint64 // run number
 	agent    *agent // nil once its session has ended
 	job      *liveJob
 	task     *task
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -185,11 +185,13 @@
 
 // run is an order and the state of its execution.
 type run struct {
-	id                                  RunID
-	session                             *session // nil once the session has ended
-	order                               wire.Order
-	state                               state
-	receivedAt                          time.Time
+	id         RunID
+	session    *session // nil once the session has ended
+	order      wire.Order
+	state      state
+	receivedAt time.Time
+	// startBy is the latest start for the job to be in time. The order is returned if it is still
+	// queued at queueDeadline, and the run is stopped at runDeadline.
 	startBy, queueDeadline, runDeadline time.Time
 	startCalledAt                       time.Time // when the target was last called to start it
 	startedAt                           time.Time // when the target reported its start
@@ -253,8 +255,8 @@
 	token             int64 // 0: not yet drawn
 	clockMs           int64 // the target's clock at clockAt
 	clockAt           time.Time
-	meanAnswerMs      float64 // mean time to the answer to a start call
-	endCursor         uint64
+	meanAnswerMs      float64             // mean time to the answer to a start call
+	endCursor         uint64              // Seq of the last EndedRun that was processed
 	listed            bool                // a listing of this incarnation was processed
 	foreignRuns       map[RunID]time.Time // runs of an earlier agent, with the time of the last stop call
 	reachable         bool
--- a/internal/scheduler/health/tracker.go
+++ b/internal/scheduler/health/tracker.go
@@ -82,12 +82,13 @@
 	Lost              // the outcome is unknown
 )
 
+// agent is the health of one agent.
 type agent struct {
 	rating             Rating
 	logLikelihoodRatio float64
 	failureRate        float64 // moving failure rate
-	counted            bool
-	successes          int // consecutive, during probation
+	counted            bool    // included in rateHistogram
+	successes          int     // consecutive, during probation
 	trialInterval      time.Duration
 	nextTrial          time.Time
 	healthySince       time.Time
--- a/internal/scheduler/reporting/reporting_test.go
+++ b/internal/scheduler/reporting/reporting_test.go
@@ -33,7 +33,8 @@
 	return max(maxProcessorShare, minShare) * 1.0001
 }
 
-// On a large host the interval must not delay the changes of load.
+// On a large host the interval must not delay the changes of load: runners report them at
+// intervals of 15 ms anyway.
 func TestLargeHostReceivesEveryReport(t *testing.T) {
 	NewWithT(t).Expect(Interval(0.8, 55)).To(BeNumerically("<", 15*time.Millisecond))
 }
