--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,11 +1,11 @@
-// Package bench measures the policies on real processes over loopback: entries,
-// agents and stand-in targets of both first users' sizes (ten targets of 8 slots,
-// speeds three apart), with open-loop arrivals from several callers through every
-// entry. Its figures are taken at the callers and the targets; the system's own
-// counters give only the number of messages sent.
+// Package bench measures the scheduling policies with real processes on the loopback
+// interface: entries, agents and stand-in targets, sized like the deployments of both first
+// users (ten targets of 8 slots; the fastest is three times as fast as the slowest). Several
+// callers submit jobs through every entry. Results come from what the callers and the
+// processes show; the system's own counters provide only the number of start messages.
 //
-// Open loop means that jobs come at their times whether or not earlier ones were
-// answered. A closed loop would slow down with the system and so hide every queue.
+// The load is open-loop: jobs arrive at scheduled times whether or not earlier ones were
+// answered. A closed loop would slow down with the system and so hide queueing.
 package bench
 
 import (
@@ -18,101 +18,104 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// Options of a series of runs.
+// Options configures a series of runs.
 type Options struct {
 	BinDir    string // directory of the built programs
-	LogDir    string // where processes' logs go; empty: nowhere
+	LogDir    string // existing directory for the processes' logs; empty: logs are discarded
 	Scenarios []Scenario
 	Policies  []owner.Policy
 	Seeds     int           // runs per scenario and policy
-	Duration  time.Duration // for which jobs arrive in a run
-	// TimeScale shortens every task by a factor below 1, to get as many jobs in less
-	// time. The overhead of the path then weighs more against the ideal.
+	Duration  time.Duration // how long jobs arrive in a run
+	// TimeScale, above 0 and up to 1, multiplies the run times and deadlines, so that as many
+	// jobs fit in a shorter run. The overhead of the request path then is a larger part of
+	// the response times.
 	TimeScale float64
-	Parallel  int // runs at a time, each on a fleet of its own
-	Wide      bool
-	Out       io.Writer
+	Parallel  int       // number of concurrent runs, each with its own fleet
+	Wide      bool      // also print a table with all measurements
+	Out       io.Writer // receives the report
 }
 
-// one is one run to be done.
-type one struct {
+// runSpec identifies a run by its scenario, policy and random seed.
+type runSpec struct {
 	scenario Scenario
 	policy   owner.Policy
 	seed     uint64
 }
 
-// Run does every run, policies alternating so that a slow minute of the machine
-// hits them alike, and prints a line for each scenario and policy.
+// Run performs all runs and prints a line for each scenario and policy. The policies
+// alternate, so that a temporary slowdown of the machine affects all of them. The first
+// error cancels the remaining runs and is returned; nothing is printed then.
 func Run(ctx context.Context, o Options) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	runs := plan(o)
 	results := make([]*Result, len(runs))
 	var (
-		group sync.WaitGroup
-		once  sync.Once
-		first error
+		group    sync.WaitGroup
+		once     sync.Once
+		firstErr error
 	)
-	places := make(chan struct{}, max(o.Parallel, 1))
+	semaphore := make(chan struct{}, max(o.Parallel, 1))
 	for i, r := range runs {
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			result, err := runOne(ctx, o, r)
 			if err != nil {
-				once.Do(func() { first = fmt.Errorf("%s %s: %w", r.scenario.Name, r.policy, err); stop() })
+				once.Do(func() { firstErr = fmt.Errorf("%s %s: %w", r.scenario.Name, r.policy, err); stop() })
 				return
 			}
 			results[i] = result
 		})
 	}
 	group.Wait()
-	if first != nil {
-		return first
+	if firstErr != nil {
+		return firstErr
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	printAll(o, runs, results)
+	printReport(o, runs, results)
 	return nil
 }
 
-// plan lists the runs: seed by seed, scenario by scenario, policies alternating.
-func plan(o Options) []one {
-	var runs []one
+// plan returns the runs ordered by seed, then scenario, then policy.
+func plan(o Options) []runSpec {
+	var runs []runSpec
 	for seed := range max(o.Seeds, 1) {
 		for _, s := range o.Scenarios {
 			for _, p := range o.Policies {
-				runs = append(runs, one{s, p, uint64(seed + 1)})
+				runs = append(runs, runSpec{s, p, uint64(seed + 1)})
 			}
 		}
 	}
 	return runs
 }
 
-func runOne(ctx context.Context, o Options, r one) (*Result, error) {
+// runOne starts a fleet, applies the scenario to it, and returns the measurements.
+func runOne(ctx context.Context, o Options, r runSpec) (*Result, error) {
 	f, err := startFleet(ctx, o, r.policy)
-	defer f.kill()
+	defer f.killAll()
 	if err != nil {
 		return nil, err
 	}
-	before, err := f.processorTime()
+	before, err := f.cpuTime()
 	if err != nil {
 		return nil, err
 	}
-	c, err := newCallers(ctx, o, r, f)
+	c, err := newLoadGenerator(ctx, o, r, f)
 	if err != nil {
 		return nil, err
 	}
 	defer c.close()
-	c.drive(ctx)
+	c.run(ctx)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	after, err := f.processorTime()
+	after, err := f.cpuTime()
 	if err != nil {
 		return nil, err
 	}
@@ -122,6 +125,6 @@
 	}
 	result := summarise(o, r, c)
 	result.addMessages(counts)
-	result.addProcessorTime(before, after)
+	result.addCPUTime(before, after)
 	return result, nil
 }
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -18,44 +18,47 @@
 
 const (
 	callerCount = 4
-	// answerAllowance is how long after a deadline its final answer may come.
+	// answerAllowance is how long after a job's deadline a call still waits for the final
+	// answer.
 	answerAllowance = 5 * time.Second
-	probes          = 50
+	roundTripProbes = 50 // calls that measure the round trip time
 )
 
-// sent is one submitted job and its end.
-type sent struct {
-	work      work
+// submittedJob is a submitted job and its outcome. The outcome is valid once done is set.
+type submittedJob struct {
+	spec      jobSpec
 	id        string
-	at        float64 // arrival as a share of the run
+	arrivedAt float64 // scheduled arrival, as a fraction of the run
 	measured  bool
 	cancelled atomic.Bool
 
-	done     atomic.Bool
-	answer   *job.Answer
-	err      error
-	response time.Duration
-	endedAt  float64 // as a share of the run
-}
-
-// callers submits jobs at their times and keeps what became of them.
-type callers struct {
-	options   Options
-	run       one
-	fleet     *fleet
-	clients   []*client.Client // one an entry
-	networkMs float64          // a call that waits for nothing
-	begun     time.Time
-
-	mu     sync.Mutex
-	tokens []string
-	sent   []*sent
-	errs   []error // of steps
-	calls  sync.WaitGroup
-}
-
-func newCallers(ctx context.Context, o Options, r one, f *fleet) (*callers, error) {
-	c := &callers{options: o, run: r, fleet: f}
+	done         atomic.Bool
+	answer       *job.Answer
+	err          error
+	responseTime time.Duration
+	endedAt      float64 // as a fraction of the run
+}
+
+// loadGenerator submits a run's jobs at scheduled times and records their outcomes.
+type loadGenerator struct {
+	options     Options
+	runSpec     runSpec
+	fleet       *fleet
+	clients     []*client.Client // one per entry, which is its first choice
+	roundTripMs float64          // median of a call without work, in milliseconds
+	startedAt   time.Time
+
+	mu       sync.Mutex
+	tokens   []string // one per entry
+	jobs     []*submittedJob
+	stepErrs []error // from the scenario's steps
+	calls    sync.WaitGroup
+}
+
+// newLoadGenerator connects a client to each entry, gets its token and measures the round
+// trip time.
+func newLoadGenerator(ctx context.Context, o Options, r runSpec, f *fleet) (*loadGenerator, error) {
+	c := &loadGenerator{options: o, runSpec: r, fleet: f}
 	addrs := f.entryAddrs()
 	for i := range addrs {
 		cl, err := client.New(client.Options{Entries: append(append([]string(nil), addrs[i:]...), addrs[:i]...)})
@@ -69,107 +72,111 @@
 		}
 		c.tokens = append(c.tokens, token)
 	}
-	return c, c.probe(ctx)
+	return c, c.measureRoundTrip(ctx)
 }
 
-// probe measures the bare network: the median time of a call that waits for nothing.
-func (c *callers) probe(ctx context.Context) error {
-	times := make([]float64, probes)
+// measureRoundTrip sets roundTripMs to the median time of a call that involves no target.
+func (c *loadGenerator) measureRoundTrip(ctx context.Context) error {
+	times := make([]float64, roundTripProbes)
 	for i := range times {
-		begun := time.Now()
+		startedAt := time.Now()
 		if _, err := c.clients[0].Token(ctx); err != nil {
 			return errors.Wrap(err, "probe")
 		}
-		times[i] = clock.Millis(time.Since(begun))
+		times[i] = clock.Millis(time.Since(startedAt))
 	}
-	c.networkMs = percentile(times, 0.5)
+	c.roundTripMs = percentile(times, 0.5)
 	return nil
 }
 
-func (c *callers) close() {
+func (c *loadGenerator) close() {
 	for _, cl := range c.clients {
 		cl.Close()
 	}
 }
 
-// drive lets jobs arrive for the duration and waits for their answers.
-func (c *callers) drive(ctx context.Context) {
-	c.begun = time.Now()
+// run submits jobs and performs the scenario's steps for the duration of the run, then waits
+// for the remaining answers.
+func (c *loadGenerator) run(ctx context.Context) {
+	c.startedAt = time.Now()
 	var group sync.WaitGroup
 	for i := range callerCount {
-		group.Go(func() { c.arrive(ctx, i) })
+		group.Go(func() { c.generateArrivals(ctx, i) })
 	}
-	for _, s := range c.run.scenario.Steps {
-		group.Go(func() { c.step(ctx, s) })
+	for _, s := range c.runSpec.scenario.Steps {
+		group.Go(func() { c.runStep(ctx, s) })
 	}
 	group.Wait()
 	c.calls.Wait()
 }
 
-func (c *callers) step(ctx context.Context, s Step) {
-	sleepUntil(ctx, c.begun.Add(time.Duration(s.At*float64(c.options.Duration))))
+// runStep performs a step at its time and records its error.
+func (c *loadGenerator) runStep(ctx context.Context, s Step) {
+	sleepUntil(ctx, c.startedAt.Add(time.Duration(s.At*float64(c.options.Duration))))
 	if err := s.Action(ctx, c); err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.errs = append(c.errs, err)
+		c.stepErrs = append(c.stepErrs, err)
 	}
 }
 
-// arrive submits one caller's part of the jobs, as a Poisson process.
-func (c *callers) arrive(ctx context.Context, caller int) {
-	r := rand.New(rand.NewPCG(c.run.seed, uint64(caller)))
-	perMs := capacity() / (c.run.scenario.Mix.meanJobMs() * c.options.TimeScale) / callerCount
-	next := c.begun
+// generateArrivals submits one caller's share of the jobs. Arrivals form a Poisson process
+// whose rate follows the scenario's load.
+func (c *loadGenerator) generateArrivals(ctx context.Context, caller int) {
+	r := rand.New(rand.NewPCG(c.runSpec.seed, uint64(caller)))
+	jobsPerMs := capacity() / (c.runSpec.scenario.Mix.meanJobMs() * c.options.TimeScale) / callerCount
+	next := c.startedAt
 	for n := 0; ; n++ {
-		rate := perMs * c.run.scenario.LoadAt(c.share(next))
+		rate := jobsPerMs * c.runSpec.scenario.LoadAt(c.elapsedShare(next))
 		next = next.Add(time.Duration(r.ExpFloat64() / rate * float64(time.Millisecond)))
-		if c.share(next) >= 1 || ctx.Err() != nil {
+		if c.elapsedShare(next) >= 1 || ctx.Err() != nil {
 			return
 		}
-		w := newWork(r, c.run.scenario, c.options.TimeScale)
+		spec := newJobSpec(r, c.runSpec.scenario, c.options.TimeScale)
 		entry := c.pickEntry(r)
 		sleepUntil(ctx, next)
-		c.submit(ctx, w, entry, next, fmt.Sprintf("c%d-%d", caller, n))
+		c.submit(ctx, spec, entry, next, fmt.Sprintf("c%d-%d", caller, n))
 	}
 }
 
-func (c *callers) pickEntry(r *rand.Rand) int {
-	if c.run.scenario.FirstEntryShare > 0 && r.Float64() < c.run.scenario.FirstEntryShare {
+// pickEntry returns the index of the entry for a job.
+func (c *loadGenerator) pickEntry(r *rand.Rand) int {
+	if c.runSpec.scenario.FirstEntryShare > 0 && r.Float64() < c.runSpec.scenario.FirstEntryShare {
 		return 0
 	}
 	return r.IntN(entryCount)
 }
 
-// share returns a time as a share of the run.
-func (c *callers) share(t time.Time) float64 {
-	return float64(t.Sub(c.begun)) / float64(c.options.Duration)
+// elapsedShare returns the position of a time in the run, as a fraction of its duration.
+func (c *loadGenerator) elapsedShare(t time.Time) float64 {
+	return float64(t.Sub(c.startedAt)) / float64(c.options.Duration)
 }
 
-// submit sends a job in the background. Its response counts from the time at which
-// it was due, so that a late caller of ours does not flatter the system.
-func (c *callers) submit(ctx context.Context, w work, entry int, due time.Time, unique string) {
-	limit := time.Duration(float64(c.run.scenario.Deadline) * c.options.TimeScale)
-	at := c.share(due)
-	s := &sent{work: w, at: at, measured: at >= c.run.scenario.MeasureFrom && at < c.run.scenario.MeasureUntil}
+// submit submits a job in the background. The response time counts from the scheduled
+// arrival, so that a delay of the load generator doesn't make the system look faster.
+func (c *loadGenerator) submit(ctx context.Context, spec jobSpec, entry int, due time.Time, idSuffix string) {
+	timeout := time.Duration(float64(c.runSpec.scenario.Deadline) * c.options.TimeScale)
+	at := c.elapsedShare(due)
+	s := &submittedJob{spec: spec, arrivedAt: at, measured: at >= c.runSpec.scenario.MeasureFrom && at < c.runSpec.scenario.MeasureUntil}
 	c.mu.Lock()
-	s.id = client.NewID(c.tokens[entry], time.Now().Add(limit), unique)
-	c.sent = append(c.sent, s)
+	s.id = client.NewID(c.tokens[entry], time.Now().Add(timeout), idSuffix)
+	c.jobs = append(c.jobs, s)
 	c.mu.Unlock()
 	c.calls.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, limit+answerAllowance)
+		ctx, cancel := context.WithTimeout(ctx, timeout+answerAllowance)
 		defer cancel()
-		s.answer, s.err = c.clients[entry].Submit(ctx, s.id, w.submission)
+		s.answer, s.err = c.clients[entry].Submit(ctx, s.id, spec.submission)
 		now := time.Now()
-		s.response, s.endedAt = now.Sub(due), c.share(now)
+		s.responseTime, s.endedAt = now.Sub(due), c.elapsedShare(now)
 		s.done.Store(true)
 		if s.ownerGone() {
-			c.renew(ctx, entry)
+			c.renewToken(ctx, entry)
 		}
 	})
 }
 
-// failure returns the fault that a job ended with, or nil.
-func (s *sent) failure() *fault.Fault {
+// failure returns the fault that ended the job, or nil if it completed or got no final answer.
+func (s *submittedJob) failure() *fault.Fault {
 	if s.answer != nil {
 		return s.answer.Failure
 	}
@@ -178,28 +185,29 @@
 	return f
 }
 
-func (s *sent) ownerGone() bool {
+// ownerGone reports whether the job failed because the process of its owner had ended.
+func (s *submittedJob) ownerGone() bool {
 	f := s.failure()
 	return f != nil && f.Code == fault.OwnerGone
 }
 
-// renew takes a new token where the owner of the old one ended.
-func (c *callers) renew(ctx context.Context, entry int) {
+// renewToken replaces the token of an entry whose process ended.
+func (c *loadGenerator) renewToken(ctx context.Context, entry int) {
 	token, err := c.clients[entry].Token(ctx)
 	if err != nil {
-		return // the next answer of this kind tries again
+		return // retried by the next job that fails in this way
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tokens[entry] = token
 }
 
-// pending returns the jobs that wait for their answers.
-func (c *callers) pending() []*sent {
+// pending returns the jobs without a final answer, in order of submission.
+func (c *loadGenerator) pending() []*submittedJob {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var open []*sent
-	for _, s := range c.sent {
+	var open []*submittedJob
+	for _, s := range c.jobs {
 		if !s.done.Load() {
 			open = append(open, s)
 		}
@@ -207,6 +215,7 @@
 	return open
 }
 
+// sleepUntil waits until t or until the context is done.
 func sleepUntil(ctx context.Context, t time.Time) {
 	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -13,53 +13,55 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// The sizes of both first users.
+// The fleet of each run has the size of the deployments of both first users.
 const (
-	targetCount = 10
-	slots       = 8
-	entryCount  = 2
-	slowest     = 1.0
-	fastest     = 3.0
-
-	readyTimeout = 15 * time.Second
-	readyPoll    = 20 * time.Millisecond
-	// settleTime lets the entries end the time after their start in which they
-	// let everything in.
+	targetCount    = 10
+	slotsPerTarget = 8
+	entryCount     = 2
+	slowestSpeed   = 1.0
+	fastestSpeed   = 3.0
+
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	// settleTime lets the time after startup pass in which entries admit every job.
 	settleTime = 1500 * time.Millisecond
-	benchKey   = "bench-key-of-loopback-only"
+	sharedKey  = "bench-key-of-loopback-only"
 )
 
-var errNotReady = errors.New("the targets did not become known to every entry in time")
+var errNotReady = errors.New("not every entry reported all targets as usable in time")
 
-// speed returns the speed of a target; they are spread evenly.
-func speed(index int) float64 {
-	return slowest + (fastest-slowest)*float64(index)/float64(targetCount-1)
+// targetSpeed returns the speed of a target: evenly spaced from slowestSpeed to fastestSpeed.
+func targetSpeed(index int) float64 {
+	return slowestSpeed + (fastestSpeed-slowestSpeed)*float64(index)/float64(targetCount-1)
 }
 
-// capacity is the work at speed 1 that all targets do in a millisecond, in milliseconds.
+// capacity returns how much work all targets can do per millisecond, in milliseconds of run
+// time at speed 1.
 func capacity() float64 {
 	sum := 0.0
 	for i := range targetCount {
-		sum += slots * speed(i)
+		sum += slotsPerTarget * targetSpeed(i)
 	}
 	return sum
 }
 
-// fleet is the processes of one run.
+// fleet holds the processes of a run.
 type fleet struct {
 	*localfleet.Fleet
 	policy  owner.Policy
 	entries []*localfleet.Process
 	agents  []*localfleet.Process
 	targets []*localfleet.Process
-	// What entries that were killed had counted and used.
-	goneCounts owner.Counts
-	goneMs     float64
+	// Counters and CPU time, in milliseconds, of killed entries.
+	killedCounts owner.Counts
+	killedCPUMs  float64
 }
 
+// startFleet starts all processes and waits until every entry can use every target. The
+// returned fleet is never nil, so that after an error the caller can kill what was started.
 func startFleet(ctx context.Context, o Options, p owner.Policy) (*fleet, error) {
 	f := &fleet{
-		Fleet:   localfleet.New(localfleet.Options{BinDir: o.BinDir, LogDir: o.LogDir, Key: benchKey}),
+		Fleet:   localfleet.New(localfleet.Options{BinDir: o.BinDir, LogDir: o.LogDir, Key: sharedKey}),
 		policy:  p,
 		entries: make([]*localfleet.Process, entryCount),
 	}
@@ -80,6 +82,8 @@
 	return f, ctx.Err()
 }
 
+// startEntry starts the entry with the index, with the other entries as its peers. An empty
+// listen address chooses a free port.
 func (f *fleet) startEntry(ctx context.Context, index int, listen string) error {
 	var peers []string
 	for _, p := range f.entries {
@@ -92,6 +96,8 @@
 	return err
 }
 
+// startTarget starts the target with the index and its agent. The random and two-choices
+// policies push tasks to agents, all others use grants.
 func (f *fleet) startTarget(ctx context.Context, index int) error {
 	policy := "grants"
 	if f.policy == owner.PolicyRandom || f.policy == owner.PolicyTwoChoices {
@@ -103,7 +109,7 @@
 	}
 	f.agents = append(f.agents, agent)
 	t, err := f.StartTarget(ctx, localfleet.TargetOptions{
-		Name: fmt.Sprintf("target-%d", index), Agent: agent.Addr, Slots: slots, Speed: speed(index),
+		Name: fmt.Sprintf("target-%d", index), Agent: agent.Addr, Slots: slotsPerTarget, Speed: targetSpeed(index),
 	})
 	f.targets = append(f.targets, t)
 	return err
@@ -117,7 +123,8 @@
 	return addrs
 }
 
-// awaitReady waits until every entry may use every target.
+// awaitReady waits until every entry can use every target. It returns errNotReady after
+// readyTimeout.
 func (f *fleet) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeoutCause(ctx, readyTimeout, errNotReady)
 	defer cancel()
@@ -127,24 +134,25 @@
 			return err
 		}
 		defer c.Close()
-		for usable(ctx, c) < targetCount {
+		for usableTargets(ctx, c) < targetCount {
 			select {
 			case <-ctx.Done():
 				return context.Cause(ctx)
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-func usable(ctx context.Context, c *client.Client) int {
-	known, err := c.Targets(ctx)
+// usableTargets returns how many targets an entry can use, or 0 if it doesn't respond.
+func usableTargets(ctx context.Context, c *client.Client) int {
+	targets, err := c.Targets(ctx)
 	if err != nil {
 		return 0
 	}
 	n := 0
-	for _, t := range known {
+	for _, t := range targets {
 		if t.Connected && !t.Down && !t.Leaving {
 			n++
 		}
@@ -152,9 +160,9 @@
 	return n
 }
 
-// counts sums what the entries have counted.
+// counts returns the entries' start and not-run counters, summed and including killed entries.
 func (f *fleet) counts(ctx context.Context) (owner.Counts, error) {
-	sum := f.goneCounts
+	sum := f.killedCounts
 	for _, addr := range f.entryAddrs() {
 		counts, err := entryCounts(ctx, addr)
 		if err != nil {
@@ -166,6 +174,7 @@
 	return sum, nil
 }
 
+// entryCounts returns the counters in the status of the entry at the address.
 func entryCounts(ctx context.Context, addr string) (owner.Counts, error) {
 	var status owner.Status
 	c, err := client.New(client.Options{Entries: []string{addr}})
@@ -181,27 +190,27 @@
 	return status.Counts, errors.Wrap(err, "status of an entry")
 }
 
-// killEntry ends an entry at once, after noting what it had counted: what it sends
-// in the milliseconds between is missing from the figures.
+// killEntry records an entry's counters and CPU time and kills it. What the entry sends in
+// the milliseconds between is missing from the results.
 func (f *fleet) killEntry(ctx context.Context, index int) error {
 	p := f.entries[index]
 	counts, err := entryCounts(ctx, p.Addr)
 	if err != nil {
 		return err
 	}
-	used, err := usedMs(p)
+	cpuMs, err := processCPUMs(p)
 	if err != nil {
 		return err
 	}
-	f.goneCounts.Starts += counts.Starts
-	f.goneCounts.NotRun += counts.NotRun
-	f.goneMs += used
+	f.killedCounts.Starts += counts.Starts
+	f.killedCounts.NotRun += counts.NotRun
+	f.killedCPUMs += cpuMs
 	p.Kill()
 	return nil
 }
 
-// kill ends every process at once; a graceful end would take as long as a run.
-func (f *fleet) kill() {
+// killAll kills every process; a graceful shutdown would take as long as a run.
+func (f *fleet) killAll() {
 	for _, p := range f.Processes() {
 		p.Kill()
 	}
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -10,11 +10,11 @@
 	"github.com/camphorrack/camphorrack/internal/standin/target"
 )
 
-// jobSizes are the numbers of tasks in a job, each as likely as the others.
+// jobSizes lists the numbers of tasks per job. Each element is equally likely.
 var jobSizes = []int{1, 1, 1, 4, 16, 64}
 
-// Mix is the run times of tasks, in milliseconds at speed 1: uniform from Low to
-// High, and for a share of LongShare uniform from LongLow to LongHigh.
+// Mix is a distribution of task run times, in milliseconds at speed 1: uniform from LongMinMs
+// to LongMaxMs for a fraction of LongShare of the tasks, and from MinMs to MaxMs for the rest.
 type Mix struct {
 	MinMs, MaxMs         float64
 	LongShare            float64
@@ -22,13 +22,14 @@
 }
 
 var (
-	usualMix = Mix{MinMs: 50, MaxMs: 1000, LongShare: 0.03, LongMinMs: 2000, LongMaxMs: 5000}
-	// longAmongShort is checks of 50 to 100 ms with tasks of 5 s in between, which
-	// take three quarters of the time.
+	defaultMix = Mix{MinMs: 50, MaxMs: 1000, LongShare: 0.03, LongMinMs: 2000, LongMaxMs: 5000}
+	// longAmongShort has tasks of 50 to 100 ms mixed with tasks of about 5 s, which make up
+	// three quarters of the work.
 	longAmongShort = Mix{MinMs: 50, MaxMs: 100, LongShare: 0.05, LongMinMs: 4500, LongMaxMs: 5500}
 )
 
-func (m Mix) draw(r *rand.Rand) float64 {
+// drawTaskMs returns a random run time.
+func (m Mix) drawTaskMs(r *rand.Rand) float64 {
 	low, high := m.MinMs, m.MaxMs
 	if r.Float64() < m.LongShare {
 		low, high = m.LongMinMs, m.LongMaxMs
@@ -36,7 +37,7 @@
 	return low + (high-low)*r.Float64()
 }
 
-// meanJobMs is the mean work of a job.
+// meanJobMs returns the mean work of a job: the sum of its tasks' run times at speed 1.
 func (m Mix) meanJobMs() float64 {
 	task := (1-m.LongShare)*(m.MinMs+m.MaxMs)/2 + m.LongShare*(m.LongMinMs+m.LongMaxMs)/2
 	tasks := 0
@@ -46,20 +47,22 @@
 	return task * float64(tasks) / float64(len(jobSizes))
 }
 
-// EstimateError says how declared run times relate to real ones.
+// EstimateError is the kind of error in the run times that callers declare.
 type EstimateError int
 
-// Ways to declare.
+// Kinds of estimate errors.
 const (
 	ExactEstimate     EstimateError = iota
-	LogNormalError                  // at random, with a standard deviation of a factor of e
-	TenfoldClassError               // a third of the classes ten times too short, a third ten times too long
+	LogNormalError                  // multiplied by a log-normal factor with a standard deviation of a factor of e
+	TenfoldClassError               // ten times too short in one class, exact in the next, ten times too long in the last
 )
 
-// classes that jobs are spread over.
+// classes lists the job classes, which are equally likely.
 var classes = []string{"short", "true", "long"}
 
-func (d EstimateError) declare(r *rand.Rand, class int, ms float64) int64 {
+// estimateMs returns the declared run time for a real one, both in milliseconds. class is an
+// index of classes.
+func (d EstimateError) estimateMs(r *rand.Rand, class int, ms float64) int64 {
 	switch d {
 	case LogNormalError:
 		ms *= math.Exp(r.NormFloat64())
@@ -69,30 +72,30 @@
 	return int64(max(math.Round(ms), 1))
 }
 
-// work is one job to be submitted, and what is known of it.
-type work struct {
+// jobSpec is a job to submit, with the real run times of its tasks.
+type jobSpec struct {
 	submission *job.Submission
-	totalMs    float64 // at speed 1
-	longestMs  float64 // at speed 1
+	totalMs    float64 // sum of the tasks' run times at speed 1
+	longestMs  float64 // longest run time of a task at speed 1
 }
 
-// newWork draws a job. All times are multiplied by scale.
-func newWork(r *rand.Rand, s Scenario, scale float64) work {
+// newJobSpec returns a random job. All run times are multiplied by scale.
+func newJobSpec(r *rand.Rand, s Scenario, scale float64) jobSpec {
 	class := r.IntN(len(classes))
-	w := work{submission: &job.Submission{Team: s.team(r), Class: classes[class]}}
+	w := jobSpec{submission: &job.Submission{Team: s.drawTeam(r), Class: classes[class]}}
 	for n := range jobSizes[r.IntN(len(jobSizes))] {
-		ms := s.Mix.draw(r) * scale
+		ms := s.Mix.drawTaskMs(r) * scale
 		w.totalMs += ms
 		w.longestMs = max(w.longestMs, ms)
-		// A struct of two plain fields always encodes.
+		// Encoding can't fail: the struct has only two plain fields.
 		payload, _ := json.Marshal(target.Workload{RunMs: ms, Echo: strconv.Itoa(n)})
-		w.submission.Tasks = append(w.submission.Tasks, job.Task{Payload: payload, EstimateMs: s.EstimateError.declare(r, class, ms)})
+		w.submission.Tasks = append(w.submission.Tasks, job.Task{Payload: payload, EstimateMs: s.EstimateError.estimateMs(r, class, ms)})
 	}
 	return w
 }
 
-// whole reports whether the results are those of the job's own tasks in order.
-func (w work) whole(results [][]byte) bool {
+// matches reports whether the results are those of the job's tasks, in order.
+func (w jobSpec) matches(results [][]byte) bool {
 	if len(results) != len(w.submission.Tasks) {
 		return false
 	}
--- a/internal/bench/processor.go
+++ b/internal/bench/processor.go
@@ -10,46 +10,48 @@
 	"github.com/camphorrack/camphorrack/internal/localfleet"
 )
 
-// clockTickMs is the unit of processor times in /proc, fixed at 100 a second on
-// every architecture that Linux runs servers on.
+// clockTickMs is the unit of CPU times in /proc: Linux reports them at 100 ticks per second on
+// all server architectures.
 const clockTickMs = 10
 
-// processorTime is what the daemons used since they started.
-type processorTime struct{ entryMs, agentMs float64 }
+// cpuTime is the CPU time that entries and agents used since they started.
+type cpuTime struct{ entriesMs, agentsMs float64 }
 
-func (f *fleet) processorTime() (processorTime, error) {
-	sum := processorTime{entryMs: f.goneMs}
+// cpuTime returns the CPU time used so far, including that of killed entries.
+func (f *fleet) cpuTime() (cpuTime, error) {
+	sum := cpuTime{entriesMs: f.killedCPUMs}
 	for _, p := range f.entries {
-		used, err := usedMs(p)
+		cpuMs, err := processCPUMs(p)
 		if err != nil {
 			return sum, err
 		}
-		sum.entryMs += used
+		sum.entriesMs += cpuMs
 	}
 	for _, p := range f.agents {
-		used, err := usedMs(p)
+		cpuMs, err := processCPUMs(p)
 		if err != nil {
 			return sum, err
 		}
-		sum.agentMs += used
+		sum.agentsMs += cpuMs
 	}
 	return sum, nil
 }
 
-var errStat = errors.New("the process's stat line is malformed")
+var errStat = errors.New("malformed line in /proc/PID/stat")
 
-// usedMs reads a process's user and system time.
-func usedMs(p *localfleet.Process) (float64, error) {
+// processCPUMs returns the sum of a process's user and system time, in milliseconds.
+func processCPUMs(p *localfleet.Process) (float64, error) {
 	raw, err := os.ReadFile("/proc/" + strconv.Itoa(p.PID()) + "/stat")
 	if err != nil {
-		return 0, errors.Wrapf(err, "processor time of %s", p.Name)
+		return 0, errors.Wrapf(err, "read the CPU time of %s", p.Name)
 	}
-	return parseStat(string(raw))
+	return parseCPUMs(string(raw))
 }
 
-// parseStat reads a stat line. The program's name, in parentheses, may contain
-// anything, so fields count from behind it: the times are the 12th and 13th.
-func parseStat(line string) (float64, error) {
+// parseCPUMs returns the sum of the user and system time in a line of /proc/PID/stat, in
+// milliseconds. The program name, in parentheses, may contain any character, so fields are
+// counted after its closing parenthesis: the times are the 12th and 13th.
+func parseCPUMs(line string) (float64, error) {
 	const user, system = 11, 12
 	fields := strings.Fields(line[strings.LastIndexByte(line, ')')+1:])
 	if len(fields) <= system {
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -7,54 +7,59 @@
 	"time"
 )
 
-// Scenario is a pattern of load and failures. Times are shares of the run.
+// Scenario is a pattern of load and failures. Times are fractions of Options.Duration.
 type Scenario struct {
 	Name          string
 	Mix           Mix
 	EstimateError EstimateError
-	// LoadAt is the work offered at a time, as a share of the capacity of all targets.
+	// LoadAt returns the offered load at a time, as a fraction of the capacity of all targets.
 	LoadAt func(at float64) float64
-	// Deadline of each job after its arrival, before scaling.
+	// Deadline is the time from a job's submission to its deadline, before time scaling.
 	Deadline time.Duration
-	// HeavyTeamShare is the share of jobs that one team sends.
+	// HeavyTeamShare is the fraction of jobs that team "heavy" submits.
 	HeavyTeamShare float64
-	// FirstEntryShare is the share of jobs that go through the first entry; 0: alike.
+	// FirstEntryShare is the fraction of jobs that are always submitted through the first
+	// entry; the others use a random entry. 0 spreads all jobs evenly.
 	FirstEntryShare float64
-	// MeasureFrom is when measuring begins, and MeasureUntil when it ends; 0 means the end.
+	// The measured window begins at MeasureFrom and ends at MeasureUntil. 0 means the end of
+	// the warm-up and the end of the run.
 	MeasureFrom, MeasureUntil float64
 	Steps                     []Step
 }
 
-// Step does something to the fleet or the jobs at a time of the run.
+// Step changes the fleet or the jobs at a given time of the run.
 type Step struct {
 	At     float64
-	Action func(ctx context.Context, c *callers) error
+	Action func(ctx context.Context, c *loadGenerator) error
 }
 
 const (
-	warmUp = 0.1 // share of a run that is not measured
-	teams  = 9   // besides the heavy one
+	warmUpShare    = 0.1 // initial fraction of a run that is not measured by default
+	lightTeamCount = 9   // teams that share the jobs not submitted by team "heavy"
 
-	usualDeadline = 60 * time.Second
-	// tightDeadline makes work that waits too long late under saturation.
+	defaultDeadline = 60 * time.Second
+	// tightDeadline is short enough for queued jobs to miss it under saturation.
 	tightDeadline = 10 * time.Second
-	// slowFactor is how much slower a slow target gets.
-	slowFactor = 10
+	// slowTargetFactor multiplies the run times of a target in mode "slow".
+	slowTargetFactor = 10
 )
 
-func (s Scenario) team(r *rand.Rand) string {
+// drawTeam returns a random team for a job.
+func (s Scenario) drawTeam(r *rand.Rand) string {
 	if r.Float64() < s.HeavyTeamShare {
 		return "heavy"
 	}
-	return "team-" + strconv.Itoa(r.IntN(teams))
+	return "team-" + strconv.Itoa(r.IntN(lightTeamCount))
 }
 
-func steady(load float64) func(float64) float64 {
+// constantLoad returns a LoadAt function of the same load throughout.
+func constantLoad(load float64) func(float64) float64 {
 	return func(float64) float64 { return load }
 }
 
-// during returns load, or peak while from <= at < until.
-func during(load, peak, from, until float64) func(float64) float64 {
+// loadWithPeak returns a LoadAt function of peak while from <= at < until, and of load
+// otherwise.
+func loadWithPeak(load, peak, from, until float64) func(float64) float64 {
 	return func(at float64) float64 {
 		if at >= from && at < until {
 			return peak
@@ -63,48 +68,49 @@
 	}
 }
 
-// Scenarios lists all, in the order in which they are run.
+// Scenarios returns all scenarios in the order in which they run.
 func Scenarios() []Scenario {
 	all := []Scenario{
-		{Name: "steady-0.5", LoadAt: steady(0.5)},
-		{Name: "steady-0.8", LoadAt: steady(0.8)},
-		{Name: "steady-0.95", LoadAt: steady(0.95)},
-		{Name: "burst-5x", LoadAt: during(0.5, 2.5, 0.4, 0.5)},
-		{Name: "one-team-90", LoadAt: steady(0.9), HeavyTeamShare: 0.9},
-		{Name: "slow-target", LoadAt: steady(0.7), Steps: []Step{{0.3, setMode(fastTarget, "slow")}}},
-		{Name: "long-among-short", LoadAt: steady(0.8), Mix: longAmongShort},
-		{Name: "declared-off-e", LoadAt: steady(0.8), EstimateError: LogNormalError},
-		{Name: "declared-off-10", LoadAt: steady(0.8), EstimateError: TenfoldClassError},
-		{Name: "fail-all-target", LoadAt: steady(0.7), Steps: []Step{
-			{0.3, setMode(fastTarget, "fail_all")}, {0.6, setMode(fastTarget, "normal")},
+		{Name: "steady-0.5", LoadAt: constantLoad(0.5)},
+		{Name: "steady-0.8", LoadAt: constantLoad(0.8)},
+		{Name: "steady-0.95", LoadAt: constantLoad(0.95)},
+		{Name: "burst-5x", LoadAt: loadWithPeak(0.5, 2.5, 0.4, 0.5)},
+		{Name: "one-team-90", LoadAt: constantLoad(0.9), HeavyTeamShare: 0.9},
+		{Name: "slow-target", LoadAt: constantLoad(0.7), Steps: []Step{{0.3, setMode(fastestTarget, "slow")}}},
+		{Name: "long-among-short", LoadAt: constantLoad(0.8), Mix: longAmongShort},
+		{Name: "declared-off-e", LoadAt: constantLoad(0.8), EstimateError: LogNormalError},
+		{Name: "declared-off-10", LoadAt: constantLoad(0.8), EstimateError: TenfoldClassError},
+		{Name: "fail-all-target", LoadAt: constantLoad(0.7), Steps: []Step{
+			{0.3, setMode(fastestTarget, "fail_all")}, {0.6, setMode(fastestTarget, "normal")},
 		}},
-		{Name: "half-leaving", LoadAt: steady(0.4), Steps: []Step{{0.4, leaveHalf}}},
-		{Name: "saturation-1.5", LoadAt: steady(1.5), Deadline: tightDeadline},
-		{Name: "after-saturation", LoadAt: during(0.5, 1.5, 0, 0.5), Deadline: tightDeadline, MeasureFrom: 0.6},
-		{Name: "cancel-wave", LoadAt: steady(0.8), Steps: []Step{{0.3, cancelHalf}, {0.5, cancelHalf}, {0.7, cancelHalf}}},
-		{Name: "entry-replaced", LoadAt: steady(0.8), Steps: []Step{{0.4, killEntry}, {0.45, startEntry}}},
-		{Name: "unequal-entries", LoadAt: steady(0.8), FirstEntryShare: 0.9},
+		{Name: "half-leaving", LoadAt: constantLoad(0.4), Steps: []Step{{0.4, drainHalf}}},
+		{Name: "saturation-1.5", LoadAt: constantLoad(1.5), Deadline: tightDeadline},
+		{Name: "after-saturation", LoadAt: loadWithPeak(0.5, 1.5, 0, 0.5), Deadline: tightDeadline, MeasureFrom: 0.6},
+		{Name: "cancel-wave", LoadAt: constantLoad(0.8), Steps: []Step{{0.3, cancelHalf}, {0.5, cancelHalf}, {0.7, cancelHalf}}},
+		{Name: "entry-replaced", LoadAt: constantLoad(0.8), Steps: []Step{{0.4, killEntry}, {0.45, startEntry}}},
+		{Name: "unequal-entries", LoadAt: constantLoad(0.8), FirstEntryShare: 0.9},
 	}
 	for i := range all {
-		all[i].fill()
+		all[i].setDefaults()
 	}
 	return all
 }
 
-// ShortSet names the scenarios of the short set.
+// ShortSet lists the names of the scenarios that -scenarios short selects.
 var ShortSet = []string{
 	"steady-0.5", "steady-0.8", "steady-0.95", "saturation-1.5", "slow-target", "fail-all-target", "cancel-wave",
 }
 
-func (s *Scenario) fill() {
+// setDefaults replaces zero fields by their defaults.
+func (s *Scenario) setDefaults() {
 	if s.Mix == (Mix{}) {
-		s.Mix = usualMix
+		s.Mix = defaultMix
 	}
 	if s.Deadline == 0 {
-		s.Deadline = usualDeadline
+		s.Deadline = defaultDeadline
 	}
 	if s.MeasureFrom == 0 {
-		s.MeasureFrom = warmUp
+		s.MeasureFrom = warmUpShare
 	}
 	if s.MeasureUntil == 0 {
 		s.MeasureUntil = 1
--- a/internal/bench/steps.go
+++ b/internal/bench/steps.go
@@ -12,13 +12,13 @@
 	"github.com/camphorrack/camphorrack/internal/standin/target"
 )
 
-// fastTarget is the index of the fastest target: its failure costs most.
-const fastTarget = targetCount - 1
+// fastestTarget is the index of the fastest target, whose failure costs the most capacity.
+const fastestTarget = targetCount - 1
 
-// setMode makes a target behave in another way.
-func setMode(index int, mode target.Mode) func(context.Context, *callers) error {
-	return func(ctx context.Context, c *callers) error {
-		body, err := json.Marshal(target.Behaviour{Mode: mode, Factor: slowFactor})
+// setMode returns a step action that sets the mode of a target.
+func setMode(index int, mode target.Mode) func(context.Context, *loadGenerator) error {
+	return func(ctx context.Context, c *loadGenerator) error {
+		body, err := json.Marshal(target.Behaviour{Mode: mode, Factor: slowTargetFactor})
 		if err != nil {
 			return err
 		}
@@ -35,8 +35,9 @@
 	}
 }
 
-// leaveHalf makes every other target leave; the fastest stays, since it sets the ideal.
-func leaveHalf(_ context.Context, c *callers) error {
+// drainHalf starts a graceful shutdown of every other target. The fastest one stays, because
+// the ideal response time depends on it.
+func drainHalf(_ context.Context, c *loadGenerator) error {
 	for i := 0; i < targetCount; i += 2 {
 		if err := c.fleet.targets[i].Signal(syscall.SIGTERM); err != nil {
 			return err
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// cancelHalf cancels every other job that waits for its answer.
-func cancelHalf(ctx context.Context, c *callers) error {
+// cancelHalf cancels every other pending job.
+func cancelHalf(ctx context.Context, c *loadGenerator) error {
 	var ids []string
 	for i, s := range c.pending() {
 		if i%2 == 0 {
@@ -58,9 +59,10 @@
 	return err
 }
 
-func killEntry(ctx context.Context, c *callers) error { return c.fleet.killEntry(ctx, 0) }
+// killEntry kills the first entry.
+func killEntry(ctx context.Context, c *loadGenerator) error { return c.fleet.killEntry(ctx, 0) }
 
-// startEntry starts the killed entry's successor at its address.
-func startEntry(ctx context.Context, c *callers) error {
+// startEntry restarts the killed entry at its previous address.
+func startEntry(ctx context.Context, c *loadGenerator) error {
 	return c.fleet.startEntry(ctx, 0, c.fleet.entries[0].Addr)
 }
