--- a/internal/localfleet/addr.go
+++ b/internal/localfleet/addr.go
@@ -8,21 +8,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Ports for processes that may be restarted at their address. They lie below the
-// usual range of ports for outgoing connections: one of those could take the port
-// while the process is away, and its successor could not listen.
+// Ports for processes that may be restarted at the same address. They lie below the usual
+// ephemeral port range: otherwise an outgoing connection could take the port before the restarted
+// process listens on it.
 const (
-	firstPort = 15000
-	lastPort  = 30000
-	portTries = 100
+	firstPort       = 15000
+	endPort         = 30000 // exclusive
+	maxPortAttempts = 100
 )
 
-var errNoPort = errors.New("no free port was found")
+var errNoPort = errors.New("no free port found")
 
-// FreeAddr returns a loopback address that nothing listens at.
+// FreeAddr returns a loopback address whose port is free at the time of the call. It fails if none
+// of maxPortAttempts random ports is free.
 func FreeAddr() (string, error) {
-	for range portTries {
-		port := firstPort + rand.N(uint16(lastPort-firstPort))
+	for range maxPortAttempts {
+		port := firstPort + rand.N(uint16(endPort-firstPort))
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port).String()
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
--- a/internal/localfleet/bench_test.go
+++ b/internal/localfleet/bench_test.go
@@ -17,20 +17,20 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// envBin names the directory of the built programs.
-const envBin = "CAMPHORRACK_BENCH_BIN"
+// binDirEnv is the environment variable with the directory of the built programs.
+const binDirEnv = "CAMPHORRACK_BENCH_BIN"
 
-// runMs is the run time of the tasks: short, so that many fit, and long enough for
-// processes to go idle between two.
+// runMs is the run time of the tasks in milliseconds: short, so that many fit into a run, and
+// long enough for the other processes to go idle between two.
 const runMs = 20
 
-// BenchmarkIdlePath is what the whole path adds on an idle system: a single request
-// through an entry and an agent to a target and back, less the same call made to
-// the target directly. Each is a median of b.N, taken in turn.
+// BenchmarkIdlePath measures the latency that the whole path adds on an idle system: a single
+// request through an entry and an agent to a target and back, minus the same call made directly
+// to the target. Both are medians of b.N calls, made alternately.
 func BenchmarkIdlePath(b *testing.B) {
-	bin := os.Getenv(envBin)
+	bin := os.Getenv(binDirEnv)
 	if bin == "" {
-		b.Skip("set " + envBin)
+		b.Skip("set " + binDirEnv)
 	}
 	ctx := context.Background()
 	f := New(Options{BinDir: bin, Key: rand.Text()})
@@ -69,7 +69,7 @@
 	b.ReportMetric(microseconds(median(direct)), "direct-us")
 }
 
-// awaitToken waits until the target is known, and takes a token.
+// awaitToken waits until the entry has a credit for the target, and returns a token.
 func awaitToken(ctx context.Context, b *testing.B, c *client.Client) string {
 	for range 100 {
 		targets, err := c.Targets(ctx)
@@ -82,10 +82,11 @@
 	}
 	status, _ := c.Status(ctx)
 	encoded, _ := json.Marshal(status)
-	b.Fatalf("no credit from the target: %s", encoded)
+	b.Fatalf("the entry got no credit for the target; status: %s", encoded)
 	return ""
 }
 
+// must fails the benchmark on an error.
 func must(b *testing.B, err error) {
 	b.Helper()
 	if err != nil {
--- a/internal/localfleet/fleet.go
+++ b/internal/localfleet/fleet.go
@@ -1,7 +1,7 @@
-// Package localfleet starts a small fleet of real processes on loopback, for the
-// demonstration and the benchmarks. Every process listens on a port that the
-// system chose and tells it in its log, and every process that was started is
-// stopped by its id when the fleet is closed.
+// Package localfleet runs a small fleet of real processes on the loopback interface, for the
+// demonstration, the benchmarks and tests. Unless given an address, a process listens on a port
+// chosen by the operating system, which is read from its log. Closing the fleet stops every
+// process that it started, by process id.
 package localfleet
 
 import (
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// Names of the programs in the bin directory.
+// File names of the programs in Options.BinDir.
 const (
 	entryProgram  = "camphorrack-entry"
 	agentProgram  = "camphorrack-agent"
@@ -20,20 +20,20 @@
 	logProgram    = "camphorrack-standin-log"
 )
 
-// anyPort lets the system choose the port.
+// anyPort lets the operating system choose the port.
 const anyPort = "127.0.0.1:0"
 
-// Options of a fleet.
+// Options configures a fleet.
 type Options struct {
 	BinDir string // directory of the programs
-	LogDir string // where each process's log goes; empty: nowhere
-	Key    string // the secret that all daemons of the fleet share
+	LogDir string // existing directory for the processes' logs; empty: logs are discarded
+	Key    string // secret shared by all daemons of the fleet
 }
 
-// Fleet is the processes that were started, and stops them.
+// Fleet starts processes and keeps track of them until Close stops them.
 type Fleet struct {
 	options Options
-	pauses  pauses // of all processes at once
+	pauses  pauseTracker // of the whole fleet
 
 	mu        sync.Mutex
 	processes []*Process
@@ -42,20 +42,21 @@
 // New returns an empty fleet.
 func New(o Options) *Fleet { return &Fleet{options: o} }
 
+// add records a process for Processes and Close.
 func (f *Fleet) add(p *Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.processes = append(f.processes, p)
 }
 
-// Processes returns every process that was started, in that order.
+// Processes returns every process that was started, also those that exited, in order of start.
 func (f *Fleet) Processes() []*Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Process(nil), f.processes...)
 }
 
-// Crashed returns the processes that ended although nobody asked them to.
+// Crashed returns the processes that exited without a stop request.
 func (f *Fleet) Crashed() []*Process {
 	var crashed []*Process
 	for _, p := range f.Processes() {
@@ -66,23 +67,24 @@
 	return crashed
 }
 
-// stopOrder is the order in which an operator takes a whole fleet down: workers
-// settle what they have with the entries, which need the log last.
+// stopOrder is the order in which an operator shuts down a whole fleet: while targets and agents
+// drain, they still need the entries, and the entries need the log.
 var stopOrder = [][]string{{targetProgram, agentProgram}, {entryProgram}, {logProgram}}
 
-// Close stops every process and returns those that did not end gracefully: they
-// had to be killed or ended with an error.
+// Close stops every process and returns those that did not exit gracefully: they had to be
+// killed or exited with an error.
 func (f *Fleet) Close() []*Process {
-	var bad []*Process
+	var unclean []*Process
 	for _, programs := range stopOrder {
-		bad = append(bad, f.stopAll(programs)...)
+		unclean = append(unclean, f.stopAll(programs)...)
 	}
-	return bad
+	return unclean
 }
 
-// stopAll stops the processes of the programs, all at a time.
+// stopAll stops the processes of the programs concurrently and returns those that did not exit
+// gracefully.
 func (f *Fleet) stopAll(programs []string) []*Process {
-	var bad []*Process
+	var unclean []*Process
 	var mu sync.Mutex
 	var stops sync.WaitGroup
 	for _, p := range f.Processes() {
@@ -95,19 +97,21 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			bad = append(bad, p)
+			unclean = append(unclean, p)
 		})
 	}
 	stops.Wait()
-	return bad
+	return unclean
 }
 
-// StartLog starts the stand-in of the platform's log.
+// StartLog starts the stand-in for the platform's log.
 func (f *Fleet) StartLog(ctx context.Context, extra ...string) (*Process, error) {
 	return f.start(ctx, "log", logProgram, append([]string{"-listen", anyPort}, extra...)...)
 }
 
-// StartEntry starts an entry. listen may be empty; peers are entries it knows.
+// StartEntry starts an entry that crashes on a broken invariant. An empty listen address chooses
+// a free port; peers are the addresses of other entries. Like all Start methods, it waits until
+// the process is ready to serve, and returns a StartError if it does not become ready.
 func (f *Fleet) StartEntry(ctx context.Context, name, listen string, peers []string, extra ...string) (*Process, error) {
 	if listen == "" {
 		listen = anyPort
@@ -116,8 +120,9 @@
 	return f.start(ctx, name, entryProgram, append(args, extra...)...)
 }
 
-// StartAgent starts an agent. listen may be empty; a restarted agent takes its
-// predecessor's address, which its target announces itself to.
+// StartAgent starts an agent for the worker with the name. An empty listen address chooses a free
+// port; a restarted agent needs its previous address, because its target sends announcements
+// there.
 func (f *Fleet) StartAgent(ctx context.Context, name, listen string, entries []string, extra ...string) (*Process, error) {
 	if listen == "" {
 		listen = anyPort
@@ -126,12 +131,12 @@
 	return f.start(ctx, name, agentProgram, append(args, extra...)...)
 }
 
-// TargetOptions of a stand-in target.
+// TargetOptions configures a stand-in target.
 type TargetOptions struct {
 	Name  string
-	Agent string // address of the agent beside it
+	Agent string // address of the agent that serves the target
 	Slots int
-	Speed float64 // run times are divided by it
+	Speed float64 // divides the tasks' run times
 }
 
 // StartTarget starts a stand-in target.
--- a/internal/localfleet/fleet_test.go
+++ b/internal/localfleet/fleet_test.go
@@ -14,20 +14,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// behaviour selects, in the environment, what this test program does when it is
+// daemonModeEnv is the environment variable that selects how this test program behaves when it is
 // started as a daemon.
-const behaviour = "LOCALFLEET_TEST_DAEMON"
+const daemonModeEnv = "LOCALFLEET_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
-	switch os.Getenv(behaviour) {
+	switch os.Getenv(daemonModeEnv) {
 	case "":
 		os.Exit(m.Run())
 	case "serve":
-		ended := make(chan os.Signal, 1)
-		signal.Notify(ended, syscall.SIGTERM)
+		terminated := make(chan os.Signal, 1)
+		signal.Notify(terminated, syscall.SIGTERM)
 		fmt.Fprintln(os.Stderr, "a line that is no JSON")
 		fmt.Fprintln(os.Stderr, `{"msg":"process_started","event":101,"addr":"127.0.0.1:4711"}`)
-		<-ended
+		<-terminated
 	case "fail":
 		fmt.Fprintln(os.Stderr, "601 bad_setting key: too short")
 		os.Exit(2)
@@ -39,9 +39,9 @@
 	RunSpecs(t, "localfleet")
 }
 
-// newFleet returns a fleet whose entries are this test program.
+// newFleet returns a fleet whose entry program is this test program, in the given daemon mode.
 func newFleet(daemon string) *Fleet {
-	GinkgoT().Setenv(behaviour, daemon)
+	GinkgoT().Setenv(daemonModeEnv, daemon)
 	self, err := os.Executable()
 	Expect(err).NotTo(HaveOccurred())
 	bin := GinkgoT().TempDir()
@@ -52,7 +52,7 @@
 }
 
 var _ = Describe("a local fleet", func() {
-	It("learns where a process serves and stops it by its id", func(ctx context.Context) {
+	It("reads the address of a process from its log and stops it by its id", func(ctx context.Context) {
 		f := newFleet("serve")
 		p, err := f.StartEntry(ctx, "entry-1", "", nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -62,24 +62,24 @@
 		Expect(syscall.Kill(p.PID(), 0)).To(MatchError(syscall.ESRCH))
 	})
 
-	// A daemon refuses a setting of the demonstration. Waiting for it to serve
-	// until the time is up would hide the daemon's own words about why.
-	It("tells at once why a process did not come up", func(ctx context.Context) {
+	// A daemon that rejects a setting exits at once. Waiting until the start timeout would hide
+	// the daemon's own error message.
+	It("reports at once why a process did not start", func(ctx context.Context) {
 		_, err := newFleet("fail").StartEntry(ctx, "entry-1", "", nil)
 		var start *StartError
 		Expect(errors.As(err, &start)).To(BeTrue())
-		Expect(err).To(MatchError(errEnded))
+		Expect(err).To(MatchError(errExited))
 		Expect(start.LogTail).To(ContainElement(ContainSubstring("bad_setting")))
 	})
 
-	// A daemon crashes in the middle of a run. Its work is answered by others, so
-	// the figures may look whole; the crash itself must still fail the run.
-	It("notices a process that ended although nobody asked it to", func(ctx context.Context) {
+	// After a crash in the middle of a run, other daemons take over the work and the results may
+	// look correct. The crash itself must still fail the run.
+	It("reports a process that exited without a stop request", func(ctx context.Context) {
 		f := newFleet("serve")
 		p, err := f.StartEntry(ctx, "entry-1", "", nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(syscall.Kill(p.PID(), syscall.SIGKILL)).To(Succeed())
-		Eventually(p.ended).Should(BeClosed())
+		Eventually(p.exited).Should(BeClosed())
 		Expect(f.Crashed()).To(ConsistOf(p))
 	})
 })
--- a/internal/localfleet/membership_test.go
+++ b/internal/localfleet/membership_test.go
@@ -16,38 +16,39 @@
 )
 
 const (
-	membershipPoll = 10 * time.Millisecond
-	// quietFor is how long a count must stand still to count as ended.
-	quietFor = 4 * time.Second
-	// membershipLimit ends a wait that would never end.
-	membershipLimit = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
+	// stableTime is how long a count must not change to be considered final.
+	stableTime = 4 * time.Second
+	// waitTimeout is how long waitFor waits before it fails the benchmark.
+	waitTimeout = 30 * time.Second
 )
 
-// BenchmarkMembership is how soon work follows what joins and leaves: six entries in
-// two data centres, four agents with targets, every entry under load. Each figure is
-// the worst of b.N.
+// BenchmarkMembership measures how fast the placement of work follows processes that join and
+// leave: six entries in two data centres, four agents with targets, every entry under load. Each
+// result is the worst of b.N rounds.
 //
 //	new-target-ms   from before the start of an agent and its target to the first task
-//	leaving-ms      from when its agent is told to drain to the last task begun
-//	dead-target-ms  from a target's kill to the last call its agent was sent for
+//	leaving-ms      from the drain request to its agent to the last task started
+//	dead-target-ms  from a target's kill to the last task sent to its agent
 //	substitute-ms   from an entry's kill until an agent has all its sessions again
-//	new-entry-ms    from before the start of an entry, which names one other, to its first agent
+//	new-entry-ms    from before the start of an entry, with one other as its peer, to its first agent
 func BenchmarkMembership(b *testing.B) {
-	bin := os.Getenv(envBin)
+	bin := os.Getenv(binDirEnv)
 	if bin == "" {
-		b.Skip("set " + envBin)
+		b.Skip("set " + binDirEnv)
 	}
 	worst := map[string]time.Duration{}
 	for i := 0; b.Loop(); i++ {
-		for name, took := range membershipRound(b, bin) {
-			worst[name] = max(worst[name], took)
+		for name, duration := range membershipRound(b, bin) {
+			worst[name] = max(worst[name], duration)
 		}
 	}
-	for name, took := range worst {
-		b.ReportMetric(float64(took.Milliseconds()), name)
+	for name, duration := range worst {
+		b.ReportMetric(float64(duration.Milliseconds()), name)
 	}
 }
 
+// membershipFleet is a fleet whose helpers fail the benchmark on errors.
 type membershipFleet struct {
 	*Fleet
 	b       *testing.B
@@ -56,6 +57,7 @@
 	targets []*Process
 }
 
+// membershipRound starts a fleet and returns one measurement of each duration.
 func membershipRound(b *testing.B, bin string) map[string]time.Duration {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &membershipFleet{Fleet: New(Options{BinDir: bin, Key: rand.Text()}), b: b}
@@ -67,42 +69,44 @@
 		f.startWorker(ctx, i)
 	}
 	for _, a := range f.agents {
-		f.await("an agent's four sessions", func() bool { return f.figure(a, "entries.connected") == 4 })
+		f.waitFor("an agent's four sessions", func() bool { return f.metric(a, "entries.connected") == 4 })
 	}
-	load := f.load(ctx)
+	load := f.generateLoad(ctx)
 	defer load.Wait()
 	defer cancel()
 
-	took := map[string]time.Duration{}
+	durations := map[string]time.Duration{}
 	began := time.Now()
 	f.startWorker(ctx, 4)
-	newcomer := f.targets[4]
-	f.await("a task at the new target", func() bool { return f.starts(newcomer) > 0 })
-	took["new-target-ms"] = time.Since(began)
+	newTarget := f.targets[4]
+	f.waitFor("a task started at the new target", func() bool { return f.startedTasks(newTarget) > 0 })
+	durations["new-target-ms"] = time.Since(began)
 
-	f.await("the new target under load", func() bool { return f.starts(newcomer) > 200 })
+	f.waitFor("the new target under load", func() bool { return f.startedTasks(newTarget) > 200 })
 	began = time.Now()
-	http.Post("http://"+f.agents[4].Addr+"/v1/drain", "application/json", nil) //nolint:errcheck // the figure tells
-	took["leaving-ms"] = f.lastChange(func() int { return f.starts(newcomer) }).Sub(began)
+	http.Post("http://"+f.agents[4].Addr+"/v1/drain", "application/json", nil) //nolint:errcheck // a failure shows as a timeout of the measurement
+	durations["leaving-ms"] = f.lastChange(func() int { return f.startedTasks(newTarget) }).Sub(began)
 
 	began = time.Now()
 	f.targets[0].Kill()
-	took["dead-target-ms"] = f.lastChange(func() int { return f.calls(f.agents[0]) }).Sub(began)
+	durations["dead-target-ms"] = f.lastChange(func() int { return f.sentTasks(f.agents[0]) }).Sub(began)
 
-	lost := f.agents[1]
+	agent := f.agents[1]
 	began = time.Now()
-	f.entries[0].Kill() // of the agent's own data centre, where it keeps every session
-	f.await("an entry's loss seen", func() bool { return f.figure(lost, "entries.connected") == 3 })
-	f.await("a substitute", func() bool { return f.figure(lost, "entries.connected") == 4 })
-	took["substitute-ms"] = time.Since(began)
+	f.entries[0].Kill() // in the agent's data centre, so the agent has a session with it
+	f.waitFor("the agent to lose a session", func() bool { return f.metric(agent, "entries.connected") == 3 })
+	f.waitFor("a session with a substitute entry", func() bool { return f.metric(agent, "entries.connected") == 4 })
+	durations["substitute-ms"] = time.Since(began)
 
 	began = time.Now()
-	added := f.startEntry(ctx, 6)
-	f.await("an agent of the new entry", func() bool { return f.connectedAgents(added) > 0 })
-	took["new-entry-ms"] = time.Since(began)
-	return took
+	newEntry := f.startEntry(ctx, 6)
+	f.waitFor("an agent to connect to the new entry", func() bool { return f.connectedAgents(newEntry) > 0 })
+	durations["new-entry-ms"] = time.Since(began)
+	return durations
 }
 
+// startEntry starts an entry with its predecessor as its peer, in data centres dc-0 and dc-1
+// alternately.
 func (f *membershipFleet) startEntry(ctx context.Context, i int) *Process {
 	var peers []string
 	if i > 0 {
@@ -114,22 +118,22 @@
 	return p
 }
 
-// startWorker starts an agent of the first data centre, with its target.
+// startWorker starts an agent in the first data centre, and its target.
 func (f *membershipFleet) startWorker(ctx context.Context, i int) {
-	var known []string
+	var entryAddrs []string
 	for _, e := range f.entries {
-		known = append(known, e.Addr)
+		entryAddrs = append(entryAddrs, e.Addr)
 	}
-	agent, err := f.StartAgent(ctx, fmt.Sprintf("agent-%d", i), "", known, "-data-centre", "dc-0")
+	agent, err := f.StartAgent(ctx, fmt.Sprintf("agent-%d", i), "", entryAddrs, "-data-centre", "dc-0")
 	must(f.b, err)
 	target, err := f.StartTarget(ctx, TargetOptions{Name: fmt.Sprintf("target-%d", i), Agent: agent.Addr, Slots: 8, Speed: 1})
 	must(f.b, err)
 	f.agents, f.targets = append(f.agents, agent), append(f.targets, target)
 }
 
-// load submits jobs to every entry until the context ends. What becomes of them
-// does not matter here.
-func (f *membershipFleet) load(ctx context.Context) *sync.WaitGroup {
+// generateLoad submits jobs to every entry until the context is done. Their outcomes don't matter
+// here. The wait group ends after the last submission.
+func (f *membershipFleet) generateLoad(ctx context.Context) *sync.WaitGroup {
 	payload := fmt.Appendf(nil, `{"run_ms":%d,"echo":"x"}`, runMs)
 	var loops sync.WaitGroup
 	for _, e := range f.entries {
@@ -139,7 +143,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				token, err := c.Token(ctx)
 				if err != nil {
-					time.Sleep(membershipPoll)
+					time.Sleep(pollInterval)
 					continue
 				}
 				s := &job.Submission{Team: "team", Class: "check"}
@@ -153,55 +157,61 @@
 	return &loops
 }
 
-func (f *membershipFleet) await(what string, done func() bool) {
-	for end := time.Now().Add(membershipLimit); !done(); time.Sleep(membershipPoll) {
+// waitFor polls until done returns true, and fails the benchmark after waitTimeout.
+func (f *membershipFleet) waitFor(condition string, done func() bool) {
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			f.b.Fatal("did not come about: " + what)
+			f.b.Fatal("timed out waiting for " + condition)
 		}
 	}
 }
 
-// lastChange returns when a count changed last before it stood still.
+// lastChange waits until a count has not changed for stableTime and returns the time of its last
+// change.
 func (f *membershipFleet) lastChange(count func() int) time.Time {
 	last, changed := count(), time.Now()
-	f.await("an end of changes", func() bool {
+	f.waitFor("a count to stop changing", func() bool {
 		if n := count(); n > last {
 			last, changed = n, time.Now()
 		}
-		return time.Since(changed) > quietFor
+		return time.Since(changed) > stableTime
 	})
 	return changed
 }
 
-func (f *membershipFleet) figure(p *Process, name string) int {
+// metric returns the value or the count of a metric of a process, or 0 if it doesn't respond.
+func (f *membershipFleet) metric(p *Process, name string) int {
 	var all map[string]struct{ Value, Count int }
-	f.read(p, "/metrics", &all)
+	f.getJSON(p, "/metrics", &all)
 	return all[name].Value + all[name].Count
 }
 
-// calls is how many tasks the agent was sent, whatever became of them.
-func (f *membershipFleet) calls(p *Process) int {
+// sentTasks returns how many tasks were sent to an agent, with any outcome.
+func (f *membershipFleet) sentTasks(p *Process) int {
 	n := 0
 	for _, state := range []string{"not_run", "succeeded", "failed", "unknown"} {
-		n += f.figure(p, "calls."+state)
+		n += f.metric(p, "calls."+state)
 	}
 	return n
 }
 
+// connectedAgents returns how many agents an entry reports.
 func (f *membershipFleet) connectedAgents(entry *Process) int {
 	var status struct{ Agents int }
-	f.read(entry, "/v1/status", &status)
+	f.getJSON(entry, "/v1/status", &status)
 	return status.Agents
 }
 
-func (f *membershipFleet) starts(target *Process) int {
+// startedTasks returns how many tasks were started at a target.
+func (f *membershipFleet) startedTasks(target *Process) int {
 	var all struct{ Total int }
-	f.read(target, "/starts", &all)
+	f.getJSON(target, "/starts", &all)
 	return all.Total
 }
 
-// read leaves the value as it is when the process does not answer.
-func (f *membershipFleet) read(p *Process, path string, into any) {
+// getJSON decodes a process's response at the path. It leaves the value unchanged if the process
+// does not respond.
+func (f *membershipFleet) getJSON(p *Process, path string, into any) {
 	response, err := http.Get("http://" + p.Addr + path)
 	if err != nil {
 		return
--- a/internal/localfleet/pause.go
+++ b/internal/localfleet/pause.go
@@ -6,88 +6,91 @@
 	"time"
 )
 
-// leastLook is the shortest time between two looks at how long something ran.
-const leastLook = 10 * time.Millisecond
+// minRecheckInterval is the shortest time between two checks whether a time limit has passed.
+const minRecheckInterval = 10 * time.Millisecond
 
-// pauses adds up the time in which something was paused. Pauses may overlap.
-type pauses struct {
-	mu    sync.Mutex
-	open  int
-	since time.Time // of the first that is open
-	total time.Duration
+// pauseTracker measures for how long a process or a fleet was paused. Pauses may overlap; time in
+// several of them counts once.
+type pauseTracker struct {
+	mu          sync.Mutex
+	active      int           // pauses that have begun and not ended
+	activeSince time.Time     // start of the first of the active pauses
+	finished    time.Duration // sum of the finished pauses
 }
 
-// begin opens a pause and reports whether it is the only one.
-func (p *pauses) begin() bool {
+// begin begins a pause and reports whether it is the only active one.
+func (p *pauseTracker) begin() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open++
-	if p.open > 1 {
+	p.active++
+	if p.active > 1 {
 		return false
 	}
-	p.since = time.Now()
+	p.activeSince = time.Now()
 	return true
 }
 
-// end closes a pause and reports whether it was the last.
-func (p *pauses) end() bool {
+// end ends a pause and reports whether no other is active.
+func (p *pauseTracker) end() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
-	if p.open > 0 {
+	p.active--
+	if p.active > 0 {
 		return false
 	}
-	p.total += time.Since(p.since)
+	p.finished += time.Since(p.activeSince)
 	return true
 }
 
-func (p *pauses) sum() time.Duration {
+// pausedTime returns how long pauses lasted in total, including active ones.
+func (p *pauseTracker) pausedTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open == 0 {
-		return p.total
+	if p.active == 0 {
+		return p.finished
 	}
-	return p.total + time.Since(p.since)
+	return p.finished + time.Since(p.activeSince)
 }
 
-// afterRunning calls f once so much time has passed without the pauses.
-func (p *pauses) afterRunning(limit time.Duration, f func()) (stop func()) {
-	begun, before := time.Now(), p.sum()
-	var mu sync.Mutex // look may run before the timer is assigned
+// afterFunc calls f in its own goroutine after the limit, like time.AfterFunc, but does not count
+// time in which pauses are active. stop cancels the call.
+func (p *pauseTracker) afterFunc(limit time.Duration, f func()) (stop func()) {
+	startedAt, pausedBefore := time.Now(), p.pausedTime()
+	var mu sync.Mutex // check may run before the timer is assigned
 	var timer *time.Timer
-	look := func() {
-		left := limit - (time.Since(begun) - (p.sum() - before))
-		if left <= 0 {
+	check := func() {
+		remaining := limit - (time.Since(startedAt) - (p.pausedTime() - pausedBefore))
+		if remaining <= 0 {
 			f()
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		timer.Reset(max(left, leastLook))
+		timer.Reset(max(remaining, minRecheckInterval))
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	timer = time.AfterFunc(limit, look)
+	timer = time.AfterFunc(limit, check)
 	return func() { timer.Stop() }
 }
 
-// Pause stops the process until Resume was called as often. Pauses may overlap; one that
-// has ended is left alone.
+// Pause suspends the process with SIGSTOP until Resume was called as many times as Pause. On a
+// process that has exited it has no effect.
 func (p *Process) Pause() {
 	if p.pauses.begin() {
-		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // fails only where it has ended
+		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // fails only if it has exited
 	}
 }
 
-// Resume ends one pause.
+// Resume ends one pause. The process continues after the last one.
 func (p *Process) Resume() {
 	if p.pauses.end() {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // fails only where it has ended
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // fails only if it has exited
 	}
 }
 
-// PauseAll pauses every process that runs, as a machine under all of them that stands
-// still would, and returns what resumes them.
+// PauseAll pauses every running process, which simulates a stall of the machine that runs all of
+// them. resume resumes them.
 func (f *Fleet) PauseAll() (resume func()) {
 	f.pauses.begin()
 	var paused []*Process
@@ -105,8 +108,8 @@
 	}
 }
 
-// AfterFunc calls f once so much time has passed in which the fleet was not paused as
-// a whole.
+// AfterFunc calls do in its own goroutine after the limit, like time.AfterFunc, but does not count
+// time in which PauseAll paused the fleet. stop cancels the call.
 func (f *Fleet) AfterFunc(limit time.Duration, do func()) (stop func()) {
-	return f.pauses.afterRunning(limit, do)
+	return f.pauses.afterFunc(limit, do)
 }
--- a/internal/localfleet/pause_test.go
+++ b/internal/localfleet/pause_test.go
@@ -10,8 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// stateOf returns the state that the kernel gives for a process, such as "T" for stopped.
-func stateOf(p *Process) func() string {
+// processState returns a function that reads the kernel's state of a process, such as "T" for
+// stopped.
+func processState(p *Process) func() string {
 	return func() string {
 		stat, err := os.ReadFile("/proc/" + strconv.Itoa(p.PID()) + "/stat")
 		Expect(err).NotTo(HaveOccurred())
@@ -21,22 +22,22 @@
 }
 
 var _ = Describe("a paused process", func() {
-	// Guards against a standstill of the whole fleet that wakes a process which was frozen
-	// by itself.
-	It("goes on after the last of the pauses that overlap", func(ctx context.Context) {
+	// Guards against the end of a pause of the whole fleet resuming a process that was also paused
+	// individually.
+	It("resumes after the last of several overlapping pauses", func(ctx context.Context) {
 		f := newFleet("serve")
 		p, err := f.StartEntry(ctx, "entry-1", "", nil)
 		Expect(err).NotTo(HaveOccurred())
 		p.Pause()
 		resume := f.PauseAll()
-		Eventually(stateOf(p)).Should(Equal("T"))
+		Eventually(processState(p)).Should(Equal("T"))
 		resume()
-		Consistently(stateOf(p)).Should(Equal("T"))
+		Consistently(processState(p)).Should(Equal("T"))
 		p.Resume()
-		Eventually(stateOf(p)).ShouldNot(Equal("T"))
+		Eventually(processState(p)).ShouldNot(Equal("T"))
 	})
 
-	It("is left alone once it has ended", func(ctx context.Context) {
+	It("does not count as crashed if it exited before the pause", func(ctx context.Context) {
 		f := newFleet("serve")
 		p, err := f.StartEntry(ctx, "entry-1", "", nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -47,17 +48,17 @@
 })
 
 var _ = Describe("a time limit", func() {
-	// Guards against a process, or a caller, being called late for a time in which nothing ran.
-	It("does not count pauses", func() {
-		var p pauses
+	// Guards against timeouts of a process or a caller that count time in which nothing ran.
+	It("does not count paused time", func() {
+		var p pauseTracker
 		p.begin()
-		over := make(chan struct{})
-		defer p.afterRunning(leastLook, func() { close(over) })()
-		Consistently(over).ShouldNot(BeClosed())
+		elapsed := make(chan struct{})
+		defer p.afterFunc(minRecheckInterval, func() { close(elapsed) })()
+		Consistently(elapsed).ShouldNot(BeClosed())
 		p.begin()
 		p.end()
-		Consistently(over).ShouldNot(BeClosed(), "one pause is still open")
+		Consistently(elapsed).ShouldNot(BeClosed(), "one pause is still active")
 		p.end()
-		Eventually(over).Should(BeClosed())
+		Eventually(elapsed).Should(BeClosed())
 	})
 })
