--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -110,7 +110,7 @@
 // requestShutdown closes shutdownRequested, once.
 func (a *Agent) requestShutdown() { a.shutdownOnce.Do(func() { close(a.shutdownRequested) }) }
 
-// beginDrain stops accepting new tasks, for good.
+// beginDrain stops accepting new tasks permanently.
 func (a *Agent) beginDrain() {
 	a.drainOnce.Do(func() {
 		a.draining.Store(true)
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -10,7 +10,7 @@
 
 const (
 	// tickInterval is short enough to detect a silent target well within 2 s, and an idle
-	// agent does little but wake up for it.
+	// agent does little else than handle the ticks.
 	tickInterval = 100 * time.Millisecond
 	// maxCommands limits the queue of the control goroutine. Senders block when it is full, so
 	// an owner that floods the agent is slowed by its own connection.
--- a/internal/agent/daemon_test.go
+++ b/internal/agent/daemon_test.go
@@ -233,7 +233,7 @@
 	}
 
 	// The connection breaks while a task runs at the target. Unless the result is reported on
-	// the next connection, the entry never learns it and the user waits until the deadline.
+	// the next connection, the entry never receives it and the caller waits until the deadline.
 	It("delivers the result of a task on the connection after the one that broke", func() {
 		first := entry.conn(0)
 		first.start(1, 200, "done")
--- a/internal/agent/dialers.go
+++ b/internal/agent/dialers.go
@@ -22,8 +22,9 @@
 	retryJitter       = 0.5
 	// stableAfter is how long a session must last for the retry delay to start over.
 	stableAfter = 2 * time.Second
-	// forgetAfter is how long a learned address may be unreachable before it is dropped. Hosts
-	// of entries are replaced all the time, and their old addresses would be dialled for ever.
+	// forgetAfter is how long an address that is not from the settings may be unreachable before
+	// it is dropped. Hosts of entries are replaced all the time, and their old addresses would be
+	// dialled for ever.
 	forgetAfter = 10 * time.Minute
 	// aliasCheckInterval is how often the goroutine of an alias, an address whose entry is
 	// known by its own address, checks whether any entry is still connected.
--- a/internal/agent/entrysession.go
+++ b/internal/agent/entrysession.go
@@ -72,7 +72,7 @@
 			return err
 		}
 	}
-	s.learnEntries(f)
+	s.addPeers(f)
 	if err := s.config.Receive(f.Version, f.Config); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 		return &welcomeError{"the incarnation is missing"}
 	}
 	if own := canonicalAddr(w.Addr); s.requireOwnAddr && own != "" && own != s.addr {
-		s.dialers.learn(wire.Peer{Addr: own, DataCentre: w.DataCentre})
+		s.dialers.addPeer(wire.Peer{Addr: own, DataCentre: w.DataCentre})
 		return &aliasError{own}
 	}
 	s.owner, s.peer = w.Incarnation, wire.Peer{Addr: s.addr, DataCentre: w.DataCentre}
@@ -113,14 +113,14 @@
 	return err
 }
 
-// learnEntries adds the entries that a frame names, and notes that its sender is leaving.
-func (s *entrySession) learnEntries(f *wire.ToAgent) {
+// addPeers adds the entries that a frame names, and notes that its sender is leaving.
+func (s *entrySession) addPeers(f *wire.ToAgent) {
 	for _, p := range f.Entries {
-		s.dialers.learn(p)
+		s.dialers.addPeer(p)
 	}
 	if f.Welcome != nil {
 		for _, p := range f.Welcome.Entries {
-			s.dialers.learn(p)
+			s.dialers.addPeer(p)
 		}
 	}
 	if f.Leaving {
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -58,9 +58,9 @@
 // addConfigured adds an address from the settings, which is never dropped.
 func (d *dialers) addConfigured(addr string) { d.add(wire.Peer{Addr: canonicalAddr(addr)}, true) }
 
-// learn adds an entry that another one named. It ignores a malformed address, and a new one
-// when no place is free.
-func (d *dialers) learn(p wire.Peer) {
+// addPeer adds an entry that another one named. It ignores a malformed address, and a new one
+// when the limit of known entries is reached.
+func (d *dialers) addPeer(p wire.Peer) {
 	p.Addr = canonicalAddr(p.Addr)
 	if d.add(p, false) {
 		event.Log(d.agent.log, event.PeerLearned, "entry", p.Addr, "data_centre", p.DataCentre)
@@ -85,9 +85,9 @@
 	return true
 }
 
-// makeRoom reports whether one more entry can be added. At the limit it drops a learned entry
-// that cannot be reached: addresses of replaced hosts would otherwise block new ones. The
-// caller holds d.mu.
+// makeRoom reports whether one more entry can be added. At the limit it drops an unreachable
+// entry that is not from the settings: addresses of replaced hosts would otherwise block new
+// ones. The caller holds d.mu.
 func (d *dialers) makeRoom() bool {
 	if len(d.known) < d.agent.options.MaxEntries {
 		return true
@@ -104,7 +104,7 @@
 	return false
 }
 
-// forget drops a learned address that stayed unreachable.
+// forget drops an address that stayed unreachable and is not from the settings.
 func (d *dialers) forget(m *member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/agent/members_test.go
+++ b/internal/agent/members_test.go
@@ -75,7 +75,7 @@
 		Eventually(dataCentres, "10s").Should(Equal("here here here there"))
 	})
 
-	// An entry dies and comes back while a substitute has begun a task here. If the session of
+	// An entry crashes and restarts while a substitute has begun a task here. If the session of
 	// the substitute were closed on the return, the result would be lost and the job would
 	// hang until its deadline.
 	It("connects to a substitute for a lost entry and drops it once its tasks are settled", func() {
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -15,7 +15,7 @@
 	// probeInterval is the mean time between requests by which an agent asks through a load
 	// balancer which entry answers. 5,700 agents send about 100 requests a second in all, 3 a
 	// second per entry, so some agent finds a new entry behind the balancer within about a
-	// second. The others learn it from the entries that they know.
+	// second. The others get its address from the entries that they know.
 	probeInterval = time.Minute
 	probeTimeout  = time.Second
 	// maxProbeBytes limits the answer, of which two fields are read.
@@ -26,9 +26,9 @@
 // were started together.
 func randomProbeDelay() time.Duration { return probeInterval/2 + rand.N(probeInterval) }
 
-// probe asks for the status of the entry that answers behind a load balancer, and learns its
-// own address. Otherwise no agent would learn of an entry that was added behind the balancer
-// and configured nowhere; it would own submissions and have no targets for them.
+// probe requests the status of the entry that answers behind a load balancer, and adds the
+// entry's own address. Otherwise no agent would find an entry that was added behind the balancer
+// and is in no settings; it would own submissions and have no targets for them.
 func (d *dialers) probe(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -47,6 +47,6 @@
 		DataCentre string `json:"data_centre"`
 	}
 	if json.NewDecoder(io.LimitReader(response.Body, maxProbeBytes)).Decode(&status) == nil {
-		d.learn(wire.Peer{Addr: status.Addr, DataCentre: status.DataCentre})
+		d.addPeer(wire.Peer{Addr: status.Addr, DataCentre: status.DataCentre})
 	}
 }
--- a/internal/agent/targetclient_test.go
+++ b/internal/agent/targetclient_test.go
@@ -104,7 +104,7 @@
 		Expect(out.Reason).To(Equal(wire.ReasonTargetUnavailable))
 	})
 
-	// The target dies after it has read the request, or in the middle of its answer. The task
+	// The target crashes after it has read the request, or in the middle of its answer. The task
 	// may have run: a retry by the HTTP library would run it twice, for instance bill a sale
 	// twice.
 	DescribeTable("reports unknown where the answer is lost, and does not send again",
@@ -142,7 +142,7 @@
 		Expect(err).To(MatchError(errSealed))
 	})
 
-	// A middlebox drops the state of an open connection: what is sent on it is lost, while new
+	// A middlebox drops the state of an open connection: requests on it are lost, while new
 	// connections work. A call on it would last until its deadline, and so would all later
 	// calls on that connection.
 	It("drops a connection that has gone silent and uses a new one", func() {
--- a/internal/attempt/intake.go
+++ b/internal/attempt/intake.go
@@ -23,7 +23,7 @@
 	maxQueuedStarts = 1 << 14
 )
 
-// intake decides whether a start runs, waits in the queue or is refused for good.
+// intake decides whether a start runs, waits in the queue or is refused permanently.
 type intake struct {
 	*tableState
 	reporter reporter
--- a/internal/attempt/settler.go
+++ b/internal/attempt/settler.go
@@ -13,7 +13,7 @@
 }
 
 // query reports an attempt's state. An attempt that was never received is first refused
-// for good, so that its owner can safely start the task elsewhere without the risk of a
+// permanently, so that its owner can safely start the task elsewhere without the risk of a
 // second run. The error is a *ProtocolError.
 func (s settler) query(o *owner, seq uint64) error {
 	return s.reportOrRefuse(o, seq, wire.ReasonNeverSeen)
@@ -21,7 +21,7 @@
 
 // cancel ends an attempt. A waiting one is marked as not run. For a running one, the
 // call is aborted, and its outcome is reported when it has ended. One that was never
-// received is refused for good. The error is a *ProtocolError.
+// received is refused permanently. The error is a *ProtocolError.
 func (s settler) cancel(o *owner, seq uint64) error {
 	a := o.attempts[seq]
 	if a == nil {
--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -81,8 +81,8 @@
 	callerGone := g.Request.Context().Err() != nil
 	switch {
 	case answer.State == job.Complete && callerGone:
-		// The caller never read this answer. Unless it is marked undelivered, a caller that asks
-		// again after the grace period is told that it was given.
+		// The caller never read this answer. Unless it is marked undelivered, it is reported as
+		// given to a caller that asks again after the grace period.
 		_ = a.control.post(func(_ time.Time, c core) { c.MarkUndelivered(id) }) // on failure, it counts as given
 	case answer.State == job.Complete && a.pastAnswerGrace(id):
 		a.await(g, id, 0, markUndeliveredAndAwait(id))
--- a/internal/entry/catchup.go
+++ b/internal/entry/catchup.go
@@ -17,7 +17,7 @@
 const (
 	// catchUpTimeout bounds how long a new entry accepts no work while other entries that may
 	// have a newer configuration don't answer. It outlasts a pause of some seconds; a host
-	// that is gone for good must not delay its peers for longer.
+	// that is gone permanently must not delay its peers for longer.
 	catchUpTimeout = 6 * time.Second
 	// catchUpRetryInterval is the pause between two requests to an entry that doesn't answer.
 	catchUpRetryInterval = 50 * time.Millisecond
--- a/internal/entry/decode.go
+++ b/internal/entry/decode.go
@@ -54,8 +54,8 @@
 }
 
 // decodeStrict decodes a body that must be one JSON value without unknown fields and without
-// trailing data: a misspelt field would otherwise be ignored silently, and with it what
-// the caller asked for. The error is a *fault.Fault that names the field.
+// trailing data: a misspelt field would otherwise be ignored silently, together with the value
+// that the caller set. The error is a *fault.Fault that names the field.
 func decodeStrict(body []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
--- a/internal/entry/decode_test.go
+++ b/internal/entry/decode_test.go
@@ -10,9 +10,9 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
-// A body of any bytes arrives. It is either refused with a fault that names what
-// is wrong, or means the same after it has been written and read again; it never
-// panics, which would take other callers' requests with it.
+// Decodes bodies of arbitrary bytes. A body is either refused with a fault that names the
+// invalid field, or has the same meaning after it was encoded and decoded again. Decoding never
+// panics, which would also end the requests of other callers.
 func FuzzDecodeSubmission(f *testing.F) {
 	for _, seed := range []string{
 		``, `{`, `null`, `[]`, `{} {}`, `{"id":"x","ID":"y"}`, `{"tasks":[{"payload":"aGk="}]}`, `{"tasks":[null]}`,
--- a/internal/entry/introduce_test.go
+++ b/internal/entry/introduce_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("a new entry", func() {
-	// A new entry has another one in its settings but is in nobody's settings. Without an
+	// A new entry has another one in its settings but is in no other entry's settings. Without an
 	// introduction no agent dials it, and its submissions are refused.
 	It("gets the agents of the entry in its settings", func() {
 		old := startEntry(GinkgoT())
--- a/internal/entry/unclaimed.go
+++ b/internal/entry/unclaimed.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// unclaimed holds the ids of submissions whose callers were told "pending", or whose callers'
-// connections broke, and that have not received the answer since. These callers ask again
+// unclaimed holds the ids of submissions whose callers got the answer "pending", or whose
+// callers' connections broke, and whose final answer was not delivered since. These callers ask again
 // within moments; an entry that ended as soon as its last job did would turn their finished
 // jobs into unknown outcomes. A draining entry therefore keeps running until they have their
 // answers, or until their deadlines, after which no complete answer is given.
--- a/internal/entry/unclaimed_test.go
+++ b/internal/entry/unclaimed_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Callers that were told "pending" and never ask again must not delay a drain, or occupy
+// Callers that got the answer "pending" and never ask again must not delay a drain, or occupy
 // memory, past their deadlines.
 func TestUnclaimedAnswersExpireAtTheirDeadlines(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -6,7 +6,7 @@
 // them too, so processes forward the records over their sessions. Two replicas are merged by
 // data centre: the record of the highest log offset wins, and the lifting of an evacuation is a
 // record as well. A lost record would either let tasks start in a data centre that is being
-// emptied or leave its targets idle for good.
+// emptied or leave its targets idle permanently.
 //
 // The log may have dropped the record that lifted an evacuation; then the lift only shows as a
 // key that is missing from a snapshot of the newest keys. This implied lift gets the last offset
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -36,7 +36,7 @@
 	g.Expect(r.sent[2]).To(ConsistOf(Record{DataCentre: "a", Offset: 7, Lifted: true}))
 }
 
-// Guards against targets that stay idle for good because the log has dropped the record that
+// Guards against targets that stay idle permanently because the log has dropped the record that
 // lifted their evacuation, so that only its key is missing.
 func TestKeyMissingFromSnapshotLiftsEvacuation(t *testing.T) {
 	g, r := NewWithT(t), newTestReplica()
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -104,14 +104,14 @@
 	retired      bool // the agent has retired the session and recalled its credits
 }
 
-// submission is one submission and what its callers have been told.
+// submission is one submission and the answers that its callers have received.
 type submission struct {
 	request            *job.Submission
 	owner              *entry
 	accepted           bool
 	finalAnswers       []job.Answer
 	faults             []*fault.Fault
-	reportedNotRun     bool     // a caller was told that nothing was run
+	reportedNotRun     bool     // a caller received the answer that nothing was run
 	failedByOtherEntry bool     // an entry that is not the owner reported a failure, which is final
 	answerLost         bool     // a complete answer did not reach its caller
 	stopWaits          []func() // end the waits of callers that are still connected
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -155,7 +155,7 @@
 		Expect(s.calls.Load()).To(Equal(int32(4)))
 	})
 
-	// The owner is paused, disconnected or has ended, and these can't be told apart. It may have
+	// The owner is paused, disconnected or has ended, and these can't be distinguished. It may have
 	// started the job, so both "not run" and a failure could be wrong.
 	DescribeTable("is undecided while an unreachable owner may still answer, and has an unknown outcome after that",
 		func(serve func(*fakeOwner, http.ResponseWriter, *http.Request), closed bool) {
--- a/internal/leased/server.go
+++ b/internal/leased/server.go
@@ -78,8 +78,8 @@
 	servers []*Server
 }
 
-// Endpoint is an address of a daemon and what it serves there. If Addr is empty, it is not
-// served.
+// Endpoint is an address of a daemon and the handler that serves it. It is not served if Addr
+// is empty.
 type Endpoint struct {
 	Purpose string // for the log and errors
 	Addr    string
--- a/internal/owner/answer_expiry_test.go
+++ b/internal/owner/answer_expiry_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Guards against a caller being told that the answer was given although no caller got it.
+// Guards against reporting an answer as given although no caller got it.
 func TestUndeliveredAnswerBecomesUnknownOutcome(t *testing.T) {
 	l := newAnswerFixture(t)
 	id := l.submitWithoutWaiting()
--- a/internal/owner/core.go
+++ b/internal/owner/core.go
@@ -63,7 +63,7 @@
 	DefaultMaxJobs = 120_000
 	// AnswerRetention is how long an id is kept after its deadline. A complete answer is
 	// given only until job.AnswerGrace after the deadline: from then on another entry that
-	// could not reach this one may tell the caller "failed, outcome unknown". Failures are
+	// could not reach this one may answer "failed, outcome unknown". Failures are
 	// given for the whole time, and an id that is missing during it was never accepted.
 	AnswerRetention = 15 * time.Second
 	// MaxAnswerBytes limits the results kept for look-ups; the oldest are evicted first.
@@ -140,7 +140,7 @@
 	c.dirty = c.dirty[:0]
 }
 
-// Drain refuses new submissions from now on and tells the agents that this entry is
+// Drain refuses new submissions from now on and notifies the agents that this entry is
 // leaving. Accepted submissions continue.
 func (c *Core) Drain(time.Time) {
 	if c.draining {
--- a/internal/owner/intake.go
+++ b/internal/owner/intake.go
@@ -17,7 +17,7 @@
 // of the earlier submission. stop removes the callback. A refusal is a *fault.Fault, and the
 // callback is then never called. Refusals are recorded like answers: a copy of the same
 // submission that was delayed on another path would otherwise be accepted after its caller
-// was told "not run".
+// got the answer "not run".
 func (c *Core) Submit(now time.Time, s *job.Submission, callback AnswerFunc) (stop func(), err error) {
 	if r, known := c.jobs[s.ID.String()]; known {
 		return c.handleResubmission(now, r, s, callback)
@@ -218,8 +218,8 @@
 }
 
 // withdraw replaces a complete answer that no caller got in time with an unknown outcome,
-// the answer that other entries give by now. Otherwise a caller would be told that the
-// answer had been given, although it never got it.
+// the answer that other entries give by now. Otherwise the answer would be reported as given
+// to a caller that never got it.
 func (c *Core) withdraw(r *record) {
 	c.dropResults(r)
 	f := fault.Newf(fault.OutcomeUnknown, "the job ended, and nobody was given its results within %s of the deadline", job.AnswerGrace)
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -115,7 +115,7 @@
 	return err == nil && addr.Port() != 0 && len(p.DataCentre) <= job.MaxNameBytes
 }
 
-// announceLeaving tells the connected agents that this entry is leaving, so that they connect
+// announceLeaving notifies the connected agents that this entry is leaving, so that they connect
 // to other entries while this one completes its jobs.
 func (c *Core) announceLeaving() {
 	for _, a := range c.byConn {
--- a/internal/runner/dialers.go
+++ b/internal/runner/dialers.go
@@ -19,13 +19,13 @@
 const (
 	// maxEntrySessions is the number of dispatchers with which a runner keeps sessions. Each
 	// session costs both ends heartbeats and load reports; with a session to every dispatcher,
-	// the work of a small entry host would grow with the fleet until it serves nobody. With few
-	// sessions, a dispatcher would know too few targets to spread a wide job over.
+	// the work of a small entry host would grow with the fleet until it serves no caller. With
+	// few sessions, a dispatcher would know too few targets to spread a wide job over.
 	maxEntrySessions = 12
 	// dialTimeout bounds a dial and its handshake: a host without power does not
 	// answer at all.
 	dialTimeout = 600 * time.Millisecond
-	// The first retry follows soon, because an entry without its runners serves nobody;
+	// The first retry follows soon, because an entry can't serve callers without its runners;
 	// maxRetryInterval bounds how long an entry that has restarted stays without them.
 	initialRetryInterval = 30 * time.Millisecond
 	maxRetryInterval     = 200 * time.Millisecond
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -20,8 +20,8 @@
 	return all
 }
 
-// Guards against a task that crashes target after target because no entry is told which tasks
-// were active.
+// Guards against a task that crashes target after target because no entry receives the list of
+// the tasks that were active.
 func TestCrashReportListsActiveTasks(t *testing.T) {
 	h := newHarness(t)
 	h.Connect(h.now, 2)
@@ -124,7 +124,8 @@
 	h.Expect(frames[len(frames)-1].Target.Capacity.CPUMilli).To(Equal(12_000))
 }
 
-// Guards against repeating a start after the target has shrunk below what it runs.
+// Guards against repeating a start after the target's capacity has shrunk below the demand of
+// its running tasks.
 func TestUnansweredStartIsNotRepeatedBeyondTheCapacity(t *testing.T) {
 	h := newHarness(t)
 	h.sendOrder(testConn, 1, task("a", 0), 7)
@@ -140,7 +141,7 @@
 	h := newHarness(t)
 	h.Table = New(Options{Log: h.log, Target: h.target, Outbox: h.outbox, LeaseLimit: time.Second})
 	h.Restore(h.now, Announcement{Incarnation: h.incarnation, Service: "s", Capacity: job.Demand{CPUMilli: 10_000, MemoryMB: 1000}})
-	h.renewWith() // draws the token
+	h.renewWith() // initializes the fencing token
 	h.renewWith()
 	h.Connect(h.now, testConn)
 	order := wire.Order{Seq: 1, Job: "a", RunNumber: 7, Demand: job.Demand{CPUMilli: 4000}, EstimateMs: 100, SlackMs: 100, MaxWaitMs: 300, TimeoutMs: 3000, IgnoresCapacity: true}
--- a/internal/runs/evacuate_test.go
+++ b/internal/runs/evacuate_test.go
@@ -82,8 +82,8 @@
 	h.Expect(h.outcomes(testConn)).To(HaveKeyWithValue(uint64(3), HaveField("Reason", wire.NotRunEvacuated)))
 }
 
-// Guards against an entry that is not told of an evacuation over the session on which it sends
-// its orders.
+// Guards against an evacuation that is not sent to an entry over the session on which the entry
+// sends its orders.
 func TestEvacuationsAreSentWithTheNextFrame(t *testing.T) {
 	h := newHarness(t)
 	h.Flush(h.now)
--- a/internal/runs/listing.go
+++ b/internal/runs/listing.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// stopForeign stops a run that this agent did not start: its owner was told that the earlier
-// agent is gone.
+// stopForeign stops a run that this agent did not start: the end of the earlier agent was reported
+// to its owner.
 func (t *Table) stopForeign(id RunID) {
 	if _, known := t.foreignRuns[id]; known {
 		return
--- a/internal/runs/load.go
+++ b/internal/runs/load.go
@@ -28,7 +28,7 @@
 	defaultTaskShare = 10
 )
 
-// Flush sends each session what is queued for it. Call it after each batch of calls.
+// Flush sends each session the frame that is queued for it. Call it after each batch of calls.
 func (t *Table) Flush(now time.Time) {
 	t.now = now
 	t.markStale()
--- a/internal/runs/retire.go
+++ b/internal/runs/retire.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// retireDelay is how long a session stays open at least after its entry was told to send no more
+// retireDelay is how long a session stays open at least after its entry was asked to send no more
 // work over it, and after each outcome: an order in transit at that time is still returned as not
 // run, and an outcome is still sent over a busy link instead of being lost with the session.
 const retireDelay = 300 * time.Millisecond
--- a/internal/runs/runs.go
+++ b/internal/runs/runs.go
@@ -2,7 +2,7 @@
 // entry, the state of each order (queued, running or being stopped), and the calls that the
 // target was sent and has confirmed.
 //
-// Invariant: what an entry is told about an order is true. "Not run" is reported only for an
+// Invariant: the reported outcome of an order is correct. "Not run" is reported only for an
 // order that the target never started and, after a stop that it has confirmed, never will start;
 // any other end only once the target has listed it, or once the lease under which it ran has
 // expired. An entry acts on "not run" by starting the task elsewhere, and two concurrent runs of
@@ -195,7 +195,7 @@
 	startBy, queueDeadline, runDeadline time.Time
 	startCalledAt                       time.Time // when the target was last called to start it
 	startedAt                           time.Time // when the target reported its start
-	startRetries                        int       // start calls repeated for want of an answer
+	startRetries                        int       // start calls repeated for lack of an answer
 	everRan                             bool      // the start was accepted, or the run was listed
 	wanted                              bool      // the order has not been recalled
 	notRunReason                        wire.NotRunReason
--- a/internal/runs/runs_test.go
+++ b/internal/runs/runs_test.go
@@ -299,7 +299,7 @@
 }
 
 // Answers of a healthy target are lost, sometimes two in a row. Its jobs must not be given up
-// for that: callers would be told that the outcome is unknown.
+// for that: their callers would get an unknown outcome.
 func TestTwoLostAnswersAreNoOutage(t *testing.T) {
 	h := newHarness(t)
 	h.sendOrder(testConn, 1, task("a", 0), 7)
--- a/internal/runs/stop.go
+++ b/internal/runs/stop.go
@@ -6,8 +6,8 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
-// raiseToken draws a fencing token above every one that an earlier agent can have presented:
-// tokens are times on the target's own clock, and an earlier agent drew its tokens earlier.
+// raiseToken sets a fencing token above every one that an earlier agent can have presented:
+// tokens are times on the target's own clock, and an earlier agent set its tokens earlier.
 func (t *Table) raiseToken() {
 	t.token = max(t.token+1, t.clockMs+t.now.Sub(t.clockAt).Milliseconds())
 }
--- a/internal/scheduler/estimation/estimator.go
+++ b/internal/scheduler/estimation/estimator.go
@@ -62,7 +62,7 @@
 	m.value += deviation / min(m.count+prior, windowResults)
 }
 
-// class is what is learned about one class of tasks.
+// class holds the measurements of one class of tasks.
 type class struct {
 	overall movingMean
 	bucket  [bucketCount]movingMean
--- a/internal/scheduler/grants/grants_test.go
+++ b/internal/scheduler/grants/grants_test.go
@@ -128,7 +128,7 @@
 	})
 
 	// Guards against the loss of the credits of a crashed entry, which would leave half of the
-	// target's slots unused for good without any visible reason.
+	// target's slots unused permanently without any visible reason.
 	It("frees the credits of a crashed entry", func() {
 		f := newFleet(8, 1, 2)
 		f.exchange()
--- a/internal/scheduler/headroom/headroom.go
+++ b/internal/scheduler/headroom/headroom.go
@@ -2,11 +2,11 @@
 // late. A job that has to wait for capacity is admitted only if its predicted end is earlier than
 // its limit by the margin.
 //
-// Predictions are based on the queues that targets report. They don't include what is in transit:
-// orders of other entries, and frames that wait for a narrow link. When the load exceeds what the
-// targets or the links to them can carry, each prediction is too early by the same unknown time.
-// Without a margin, every job would be admitted and every job would be late: the work is done, but
-// no caller is served in time.
+// Predictions are based on the queues that targets report. They don't include data in transit:
+// orders of other entries, and frames that wait for a narrow link. When the load exceeds the
+// capacity of the targets or of the links to them, each prediction is too early by the same
+// unknown time. Without a margin, every job would be admitted and every job would be late: the work
+// is done, but no caller is served in time.
 //
 // The margin increases with each job that is late and decreases with each that is in time, so that
 // in equilibrium a fixed share is late. While few jobs are late it stays at zero and does not affect
--- a/internal/scheduler/queuesim/queuesim_test.go
+++ b/internal/scheduler/queuesim/queuesim_test.go
@@ -37,7 +37,7 @@
 }
 
 // A task past its expected end must be expected to end soon, not in the past: waits below
-// zero would make its target look like the best of all.
+// zero would make its target the preferred one.
 func TestOverdueTasksAreExpectedToEndSoon(t *testing.T) {
 	NewWithT(t).Expect(predict(0, []RunningTask{{4, -300}}, nil)[0]).To(Equal(float64(overdueRemainingMs)))
 }
--- a/internal/scheduler/retryafter/retryafter_test.go
+++ b/internal/scheduler/retryafter/retryafter_test.go
@@ -80,7 +80,7 @@
 	return got
 }
 
-// arrivals draws the number of first attempts in a step.
+// arrivals returns a random number of first attempts in a step.
 func arrivals(x *rand.Rand, second, perSecond int) int {
 	rate := float64(usualRate)
 	switch {
--- a/internal/session/liveness_test.go
+++ b/internal/session/liveness_test.go
@@ -95,7 +95,7 @@
 
 // A path fails in one direction or both at any time, and a frame with content is sent then or
 // later. The sender must detect the loss within 1.5 s. Otherwise the task that the frame
-// starts, or the result that it carries, is delayed without anyone knowing.
+// starts, or the result that it carries, is delayed and the sender does not detect it.
 func TestLostFrameIsDetectedWithinTheTimeout(t *testing.T) {
 	o := Options{}.withDefaults()
 	// One heartbeat may still acknowledge content from before the failure, and the writer
--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -24,7 +24,7 @@
 type counter struct {
 	limit     time.Duration
 	counted   time.Duration
-	lastCheck time.Time // time of the last check or sign of life
+	lastCheck time.Time // time of the last check or reset
 }
 
 func newCounter(now time.Time, limit time.Duration) counter {
@@ -34,7 +34,7 @@
 // quantum returns the time between two checks.
 func (c *counter) quantum() time.Duration { return c.limit / quantaPerLimit }
 
-// reset records a sign of life.
+// reset records that the peer has responded.
 func (c *counter) reset(now time.Time) { c.counted, c.lastCheck = 0, now }
 
 // check adds the time since the last check, at most one quantum, and reports whether the peer
