--- a/internal/agent/dialers.go
+++ b/internal/agent/dialers.go
@@ -79,12 +79,12 @@
 	lastReached := time.Now()
 	requireOwnAddr := true
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		err := d.agent.connect(ctx, m.addr, requireOwnAddr)
 		var alias *aliasError
 		isAlias := errors.As(err, &alias)
 		d.connectionEnded(ctx, m, isAlias)
-		if time.Since(began) > stableAfter {
+		if time.Since(startedAt) > stableAfter {
 			wait.Reset()
 		}
 		switch {
--- a/internal/agent/entrysession.go
+++ b/internal/agent/entrysession.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	err = s.conn.Serve(s.receive)
-	s.handleEnd(err)
+	s.handleDisconnect(err)
 	return err
 }
 
@@ -134,9 +134,9 @@
 		len(f.Starts)+len(f.Cancels)+len(f.Queries)+len(f.Acks) == 0
 }
 
-// handleEnd logs the end of the connection and removes an opened session.
-func (s *entrySession) handleEnd(err error) {
-	s.logEnd(err)
+// handleDisconnect logs the end of the connection and removes an opened session.
+func (s *entrySession) handleDisconnect(err error) {
+	s.logClose(err)
 	if s.owner == 0 {
 		return
 	}
@@ -149,8 +149,8 @@
 	})
 }
 
-// logEnd logs the end of the connection as an event that depends on the cause.
-func (s *entrySession) logEnd(err error) {
+// logClose logs the end of the connection as an event that depends on the cause.
+func (s *entrySession) logClose(err error) {
 	var closed *session.CloseError
 	var protocol *attempt.ProtocolError
 	var alias *aliasError
--- a/internal/agent/targetclient.go
+++ b/internal/agent/targetclient.go
@@ -96,9 +96,9 @@
 // call runs a task on the target and returns the outcome, with its duration in milliseconds.
 // Cancelling ctx closes the connection.
 func (c *targetClient) call(ctx context.Context, s *wire.Start) callResult {
-	began := time.Now()
+	startedAt := time.Now()
 	out := c.roundTrip(ctx, s)
-	out.RunMs = float64(time.Since(began).Microseconds()) / 1000
+	out.RunMs = float64(time.Since(startedAt).Microseconds()) / 1000
 	return out
 }
 
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -234,12 +234,12 @@
 // check fails. Open connections are served until drainReserve is left of the grace period;
 // then new jobs are refused and the answers to admitted jobs are awaited.
 func (d *Dispatcher) Stop(ctx context.Context) error {
-	began := time.Now()
+	startedAt := time.Now()
 	d.draining.Store(true)
 	event.Log(d.log, event.DrainStarted, "grace_ms", d.options.Grace.Milliseconds())
-	clock.Sleep(ctx, time.Until(began.Add(d.options.Grace-drainReserve)))
+	clock.Sleep(ctx, time.Until(startedAt.Add(d.options.Grace-drainReserve)))
 	_ = d.loop.Push(func(_ time.Time, s *state) { s.core.Drain() }) // fails only if the loop has stopped
-	deadline := began.Add(d.options.Grace - exitReserve)
+	deadline := startedAt.Add(d.options.Grace - exitReserve)
 	for unanswered := 1; unanswered > 0 && time.Now().Before(deadline) && ctx.Err() == nil; {
 		if err := d.loop.Do(queryTimeout, func(_ time.Time, s *state) { unanswered = s.core.UnansweredJobs() }); err != nil {
 			break
@@ -252,6 +252,6 @@
 	d.stop()
 	d.servers.Close()
 	d.loop.Stop()
-	event.Log(d.log, event.ProcessStopped, "clean", err == nil, "after_ms", time.Since(began).Milliseconds())
+	event.Log(d.log, event.ProcessStopped, "clean", err == nil, "after_ms", time.Since(startedAt).Milliseconds())
 	return nil
 }
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -70,19 +70,19 @@
 	if err != nil {
 		conn.Close(err)
 	}
-	r.handleClose(conn.Serve(r.receive))
+	r.handleDisconnect(conn.Serve(r.receive))
 }
 
 // runnerSession is one connection of a runner.
 type runnerSession struct {
 	*sessions
-	conn          *session.ToAgentConn
-	id            dispatch.ConnID
-	helloReceived bool
+	conn   *session.ToAgentConn
+	id     dispatch.ConnID
+	opened bool
 }
 
 func (r *runnerSession) receive(f *wire.ToEntry) error {
-	if !r.helloReceived {
+	if !r.opened {
 		return r.handleHello(f.Hello)
 	}
 	if f.IsHeartbeat() {
@@ -116,7 +116,7 @@
 	case h.Worker == "":
 		return &helloError{"the host name is missing"}
 	}
-	r.helloReceived = true
+	r.opened = true
 	event.Log(r.log, event.SessionOpened, "conn", uint64(r.id), "host", h.Worker, "peer", r.conn.RemoteAddr())
 	return r.loop.Push(func(now time.Time, s *state) {
 		r.conns[r.id] = r.conn
@@ -181,8 +181,8 @@
 	return peers
 }
 
-// handleClose logs the end of the connection and removes it from the control state.
-func (r *runnerSession) handleClose(err error) {
+// handleDisconnect logs the end of the connection and removes it from the control state.
+func (r *runnerSession) handleDisconnect(err error) {
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
 		eventID := event.SessionClosed
@@ -191,7 +191,7 @@
 		}
 		event.Log(r.log, eventID, "conn", uint64(r.id), "peer", r.conn.RemoteAddr(), "reason", string(closed.Reason), "error", closed.Error())
 	}
-	if !r.helloReceived {
+	if !r.opened {
 		return
 	}
 	// Push fails only if the control loop has stopped; its state is not used any more.
--- a/internal/entry/agents.go
+++ b/internal/entry/agents.go
@@ -85,7 +85,7 @@
 // preserves the order of a connection's frames. An error closes the connection.
 func (s *agentSession) receive(f *wire.ToEntry) error {
 	if !s.opened {
-		return s.open(f)
+		return s.handleHello(f)
 	}
 	if err := s.config.Receive(f.Version, f.Config); err != nil {
 		return err
@@ -100,9 +100,9 @@
 	})
 }
 
-// open validates the first frame and connects the agent to the control state. The error is a
-// *helloError, or control.ErrStopped.
-func (s *agentSession) open(f *wire.ToEntry) error {
+// handleHello validates the first frame and connects the agent to the control state. The error
+// is a *helloError, or control.ErrStopped.
+func (s *agentSession) handleHello(f *wire.ToEntry) error {
 	if f.Hello == nil {
 		return &helloError{"it is missing from the first frame"}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,14 +37,14 @@
 
 // Entry is the entry daemon.
 type Entry struct {
-	options  Options
-	log      logr.Logger
-	clock    clock.Clock
-	api      *api
-	control  *controlLoop
-	listener net.Listener
-	server   *http.Server
-	unused   *httpconn.UnusedConns
+	options     Options
+	log         logr.Logger
+	clock       clock.Clock
+	api         *api
+	control     *controlLoop
+	listener    net.Listener
+	server      *http.Server
+	unusedConns *httpconn.UnusedConns
 
 	draining  atomic.Bool
 	drainOnce sync.Once
@@ -109,9 +109,9 @@
 	e.api.config = newConfiguration(e)
 	e.api.agents.config = e.api.config
 	metrics.RegisterConfig(e.api.config.replica)
-	e.unused = httpconn.NewUnusedConns()
+	e.unusedConns = httpconn.NewUnusedConns()
 	e.server = &http.Server{
-		ConnState: e.unused.Track,
+		ConnState: e.unusedConns.Track,
 		Handler:   e.api.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		WriteTimeout: e.options.MaxTimeout + writeSlack,
 		// net/http would print its errors to stderr as plain text; they are for debugging only.
--- a/internal/runner/dialers.go
+++ b/internal/runner/dialers.go
@@ -26,10 +26,10 @@
 	// answer at all.
 	dialTimeout = 600 * time.Millisecond
 	// The first retry follows soon, because an entry can't serve callers without its runners;
-	// maxRetryInterval bounds how long an entry that has restarted stays without them.
-	initialRetryInterval = 30 * time.Millisecond
-	maxRetryInterval     = 200 * time.Millisecond
-	// stableAfter is how long a session must last to reset the retry interval.
+	// maxRetryDelay bounds how long an entry that has restarted stays without them.
+	initialRetryDelay = 30 * time.Millisecond
+	maxRetryDelay     = 200 * time.Millisecond
+	// stableAfter is how long a session must last to reset the retry delay.
 	stableAfter = 2 * time.Second
 	// downAfter is how long an entry may be unreachable before another one replaces it. It is
 	// longer than a restart: with immediate replacement, each restart would move the sessions
@@ -280,7 +280,7 @@
 // is deselected or removed or the context ends.
 func (d *dialers) maintainSession(ctx context.Context, e *entryAddr) {
 	retry := backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(initialRetryInterval), backoff.WithMaxInterval(maxRetryInterval), backoff.WithMaxElapsedTime(0),
+		backoff.WithInitialInterval(initialRetryDelay), backoff.WithMaxInterval(maxRetryDelay), backoff.WithMaxElapsedTime(0),
 	)
 	lastReached := time.Now()
 	for ctx.Err() == nil {
--- a/internal/runner/entrysession.go
+++ b/internal/runner/entrysession.go
@@ -45,7 +45,7 @@
 	defer stop()
 	s := &entrySession{Runner: r, id: runs.ConnID(r.lastConnID.Add(1)), addr: addr, conn: conn}
 	err = conn.Serve(s.receive)
-	s.handleEnd(err)
+	s.handleDisconnect(err)
 	return err
 }
 
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// handleEnd logs the end of the connection and removes the session.
-func (s *entrySession) handleEnd(err error) {
+// handleDisconnect logs the end of the connection and removes the session.
+func (s *entrySession) handleDisconnect(err error) {
 	var closed *session.CloseError
 	if errors.As(err, &closed) {
 		id := event.SessionClosed
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -70,10 +70,10 @@
 	// further failure: an absent target must not be called continuously.
 	renewRetryDelay         = 2 * time.Millisecond
 	repeatedRenewRetryDelay = 50 * time.Millisecond
-	// shutdownReserve is the part of Options.Grace that is reserved for closing sessions and
+	// exitReserve is the part of Options.Grace that is reserved for closing sessions and
 	// servers.
-	shutdownReserve = 400 * time.Millisecond
-	headerTimeout   = 3 * time.Second // for the header of a request
+	exitReserve   = 400 * time.Millisecond
+	headerTimeout = 3 * time.Second // for the header of a request
 	// finalFlushDelay is the time for sending the last outcomes before sessions are closed.
 	finalFlushDelay = 100 * time.Millisecond
 )
@@ -264,7 +264,7 @@
 	event.Log(r.log, event.DrainStarted, "grace_ms", r.options.Grace.Milliseconds())
 	r.enqueue(func(now time.Time, s *state) { s.table.Drain(now) })
 	left := 1
-	for until := startedAt.Add(r.options.Grace - shutdownReserve); left > 0 && time.Now().Before(until) && ctx.Err() == nil; {
+	for until := startedAt.Add(r.options.Grace - exitReserve); left > 0 && time.Now().Before(until) && ctx.Err() == nil; {
 		if err := r.loop.Do(time.Second, func(_ time.Time, s *state) { left = s.table.Runs() }); err != nil {
 			break
 		}
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against aborting a call whose reply arrives slowly.
-func TestSignOfLifeResetsTheCounter(t *testing.T) {
+func TestProgressResetsTheCounter(t *testing.T) {
 	g := NewWithT(t)
 	now := time.UnixMilli(0)
 	s := newCounter(now, time.Second)
