--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -68,7 +68,7 @@
 	a.incarnation = s.incarnation
 	a.control = newControl(s, a.clock, a.metrics.TurnObserver(log))
 	a.dialers = newDialers(a)
-	a.metrics.registerMemberGauges(a.dialers)
+	a.metrics.registerEntryGauges(a.dialers)
 	a.replica = config.NewReplica(config.Location{DataCentre: o.DataCentre, Rack: o.Rack}, a.clock, log)
 	a.fanOut = config.NewFanOut(a.replica)
 	a.metrics.RegisterConfig(a.replica)
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// registerMemberGauges adds gauges of the known, connected and failed entries.
-func (c *counters) registerMemberGauges(d *dialers) {
+// registerEntryGauges adds gauges of the known, connected and failed entries.
+func (c *counters) registerEntryGauges(d *dialers) {
 	c.RegisterGauge("entries.known", func() int64 { return d.counts().known })
 	c.RegisterGauge("entries.connected", func() int64 { return d.counts().connected })
 	c.RegisterGauge("entries.connected_home", func() int64 { return d.counts().local })
--- a/internal/agent/dialers.go
+++ b/internal/agent/dialers.go
@@ -44,12 +44,12 @@
 	surplusAfter time.Duration
 
 	mu    sync.Mutex
-	known map[string]*member
+	known map[string]*entryAddr
 }
 
 func newDialers(a *Agent) *dialers {
 	ctx, stop := context.WithCancel(context.Background())
-	return &dialers{agent: a, ctx: ctx, stop: stop, replan: make(chan struct{}, 1), surplusAfter: surplusAfter, known: map[string]*member{}}
+	return &dialers{agent: a, ctx: ctx, stop: stop, replan: make(chan struct{}, 1), surplusAfter: surplusAfter, known: map[string]*entryAddr{}}
 }
 
 // canonicalAddr returns addr in canonical form, for comparison, or "" if it is not the ip:port
@@ -63,27 +63,27 @@
 }
 
 // startDialling starts the dialling goroutine of an entry. The caller holds d.mu.
-func (d *dialers) startDialling(m *member) {
+func (d *dialers) startDialling(e *entryAddr) {
 	ctx, cancel := context.WithCancel(d.ctx)
-	m.cancel = cancel
+	e.cancel = cancel
 	d.goroutines.Go(func() {
 		defer cancel()
-		d.maintain(ctx, m)
+		d.maintain(ctx, e)
 	})
 }
 
 // maintain connects to the entry, again after each failure, until ctx is cancelled or the
 // address is dropped as unreachable.
-func (d *dialers) maintain(ctx context.Context, m *member) {
+func (d *dialers) maintain(ctx context.Context, e *entryAddr) {
 	wait := newBackoff()
 	lastReached := time.Now()
 	requireOwnAddr := true
 	for ctx.Err() == nil {
 		startedAt := time.Now()
-		err := d.agent.connect(ctx, m.addr, requireOwnAddr)
+		err := d.agent.connect(ctx, e.addr, requireOwnAddr)
 		var alias *aliasError
 		isAlias := errors.As(err, &alias)
-		d.connectionEnded(ctx, m, isAlias)
+		d.connectionEnded(ctx, e, isAlias)
 		if time.Since(startedAt) > stableAfter {
 			wait.Reset()
 		}
@@ -92,13 +92,13 @@
 			// The entry's own address is dialled instead. With both dialled, the two
 			// connections would replace each other for ever. If the own address proves
 			// unreachable, the alias is used.
-			requireOwnAddr = !d.waitUntilDisconnected(ctx, m.addr)
+			requireOwnAddr = !d.waitUntilDisconnected(ctx, e.addr)
 			lastReached = time.Now()
 			continue
 		case wasConnected(err):
 			lastReached = time.Now()
-		case !m.configured && time.Since(lastReached) > forgetAfter:
-			d.forget(m)
+		case !e.configured && time.Since(lastReached) > forgetAfter:
+			d.forget(e)
 			return
 		}
 		clock.Sleep(ctx, wait.NextBackOff())
--- a/internal/agent/members.go
+++ b/internal/agent/entries.go
@@ -25,8 +25,9 @@
 	surplusAfter = 10 * time.Second
 )
 
-// member is a known entry. All fields but addr and configured are guarded by dialers.mu.
-type member struct {
+// entryAddr is a known address of an entry and the state of its connection. All fields but addr
+// and configured are guarded by dialers.mu.
+type entryAddr struct {
 	addr       string
 	configured bool // from the settings; never dropped
 	dataCentre string
@@ -44,15 +45,15 @@
 }
 
 // down reports whether a substitute should take the place of the entry at now.
-func (m *member) down(now time.Time) bool {
-	if m.session != nil && now.Sub(m.openedAt) > stableAfter {
-		m.failingSince = time.Time{}
+func (e *entryAddr) down(now time.Time) bool {
+	if e.session != nil && now.Sub(e.openedAt) > stableAfter {
+		e.failingSince = time.Time{}
 	}
 	limit := replaceAfter
-	if m.session != nil {
+	if e.session != nil {
 		limit += stableAfter // until the session is stable, the entry may be restarting repeatedly
 	}
-	return m.leaving || !m.failingSince.IsZero() && now.Sub(m.failingSince) > limit
+	return e.leaving || !e.failingSince.IsZero() && now.Sub(e.failingSince) > limit
 }
 
 // addConfigured adds an address from the settings, which is never dropped.
@@ -80,7 +81,7 @@
 	if p.Addr == "" || !d.makeRoom() || d.ctx.Err() != nil {
 		return false
 	}
-	d.known[p.Addr] = &member{addr: p.Addr, dataCentre: p.DataCentre, configured: configured}
+	d.known[p.Addr] = &entryAddr{addr: p.Addr, dataCentre: p.DataCentre, configured: configured}
 	d.requestPlan()
 	return true
 }
@@ -92,10 +93,10 @@
 	if len(d.known) < d.agent.options.MaxEntries {
 		return true
 	}
-	for addr, m := range d.known {
-		if !m.configured && m.session == nil && !m.failingSince.IsZero() {
-			if m.cancel != nil {
-				m.cancel()
+	for addr, e := range d.known {
+		if !e.configured && e.session == nil && !e.failingSince.IsZero() {
+			if e.cancel != nil {
+				e.cancel()
 			}
 			delete(d.known, addr)
 			return true
@@ -105,11 +106,11 @@
 }
 
 // forget drops an address that stayed unreachable and is not from the settings.
-func (d *dialers) forget(m *member) {
+func (d *dialers) forget(e *entryAddr) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.known[m.addr] == m {
-		delete(d.known, m.addr)
+	if d.known[e.addr] == e {
+		delete(d.known, e.addr)
 	}
 }
 
@@ -126,29 +127,29 @@
 func (d *dialers) sessionOpened(s *entrySession, w *wire.Welcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := d.known[s.addr]
-	if m == nil {
+	e := d.known[s.addr]
+	if e == nil {
 		return // it was dropped in makeRoom
 	}
-	m.session, m.openedAt, m.retiring, m.leaving = s, time.Now(), false, w.Leaving
-	m.alias = !s.requireOwnAddr
+	e.session, e.openedAt, e.retiring, e.leaving = s, time.Now(), false, w.Leaving
+	e.alias = !s.requireOwnAddr
 	if s.requireOwnAddr {
-		m.advertised = m.advertised && m.dataCentre == w.DataCentre
-		m.confirmed, m.dataCentre = true, w.DataCentre
-		d.advertise(m)
+		e.advertised = e.advertised && e.dataCentre == w.DataCentre
+		e.confirmed, e.dataCentre = true, w.DataCentre
+		d.advertise(e)
 	}
 	d.requestPlan()
 }
 
 // advertise sends an entry to the other connected entries, once. The caller holds d.mu.
-func (d *dialers) advertise(m *member) {
-	if m.advertised {
+func (d *dialers) advertise(e *entryAddr) {
+	if e.advertised {
 		return
 	}
-	m.advertised = true
-	news := []wire.Peer{{Addr: m.addr, DataCentre: m.dataCentre}}
+	e.advertised = true
+	news := []wire.Peer{{Addr: e.addr, DataCentre: e.dataCentre}}
 	for _, other := range d.known {
-		if other != m && other.session != nil {
+		if other != e && other.session != nil {
 			other.session.conn.Send(&wire.ToEntry{Entries: slices.Clone(news)})
 		}
 	}
@@ -159,23 +160,23 @@
 func (d *dialers) markLeaving(s *entrySession) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if m := d.known[s.addr]; m != nil && m.session == s {
-		m.leaving = true
+	if e := d.known[s.addr]; e != nil && e.session == s {
+		e.leaving = true
 		d.requestPlan()
 	}
 }
 
 // connectionEnded records that a connection has ended or could not be made, or that its
 // address proved to be an alias.
-func (d *dialers) connectionEnded(ctx context.Context, m *member, alias bool) {
+func (d *dialers) connectionEnded(ctx context.Context, e *entryAddr, alias bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() != nil {
 		return // the agent closed it
 	}
-	m.session, m.alias = nil, m.alias || alias
-	if m.failingSince.IsZero() {
-		m.failingSince = time.Now()
+	e.session, e.alias = nil, e.alias || alias
+	if e.failingSince.IsZero() {
+		e.failingSince = time.Now()
 	}
 	d.requestPlan()
 }
@@ -206,20 +207,20 @@
 	allConnected := true
 	chosen := d.choose(now)
 	for _, addr := range chosen {
-		m := d.known[addr]
-		m.surplusSince = time.Time{}
-		allConnected = allConnected && m.session != nil
-		if m.cancel == nil {
-			d.startDialling(m)
+		e := d.known[addr]
+		e.surplusSince = time.Time{}
+		allConnected = allConnected && e.session != nil
+		if e.cancel == nil {
+			d.startDialling(e)
 		}
-		if m.retiring {
-			m.retiring = false
-			d.setRetired(m.session, false)
+		if e.retiring {
+			e.retiring = false
+			d.setRetired(e.session, false)
 		}
 	}
-	for _, m := range d.known {
-		if m.session != nil && !m.alias && !m.down(now) && !slices.Contains(chosen, m.addr) {
-			d.handleSurplus(now, m, allConnected)
+	for _, e := range d.known {
+		if e.session != nil && !e.alias && !e.down(now) && !slices.Contains(chosen, e.addr) {
+			d.handleSurplus(now, e, allConnected)
 		}
 	}
 }
@@ -227,9 +228,9 @@
 // choose returns the addresses of the selected entries, best first. The caller holds d.mu.
 func (d *dialers) choose(now time.Time) []string {
 	candidates := make([]subset.Candidate, 0, len(d.known))
-	for _, m := range d.known {
-		if !m.alias {
-			candidates = append(candidates, subset.Candidate{Addr: m.addr, DataCentre: m.dataCentre, Down: m.down(now)})
+	for _, e := range d.known {
+		if !e.alias {
+			candidates = append(candidates, subset.Candidate{Addr: e.addr, DataCentre: e.dataCentre, Down: e.down(now)})
 		}
 	}
 	return subset.Choose(d.agent.options.Worker, d.agent.options.DataCentre, candidates, d.agent.options.entrySessions())
@@ -237,13 +238,13 @@
 
 // handleSurplus retires the session of an entry that is not selected, after all selected
 // entries have been connected for d.surplusAfter. The caller holds d.mu.
-func (d *dialers) handleSurplus(now time.Time, m *member, allConnected bool) {
+func (d *dialers) handleSurplus(now time.Time, e *entryAddr, allConnected bool) {
 	switch {
-	case m.surplusSince.IsZero() || !allConnected && !m.retiring:
-		m.surplusSince = now
-	case now.Sub(m.surplusSince) > d.surplusAfter:
-		m.retiring = true
-		d.setRetired(m.session, true)
+	case e.surplusSince.IsZero() || !allConnected && !e.retiring:
+		e.surplusSince = now
+	case now.Sub(e.surplusSince) > d.surplusAfter:
+		e.retiring = true
+		d.setRetired(e.session, true)
 	}
 }
 
@@ -271,34 +272,34 @@
 func (d *dialers) close(s *entrySession) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := d.known[s.addr]
-	if m == nil || m.session != s || !m.retiring {
+	e := d.known[s.addr]
+	if e == nil || e.session != s || !e.retiring {
 		return
 	}
-	event.Log(d.agent.log, event.SessionRetired, "entry", m.addr, "data_centre", m.dataCentre)
+	event.Log(d.agent.log, event.SessionRetired, "entry", e.addr, "data_centre", e.dataCentre)
 	d.agent.metrics.retired.Inc(1)
-	m.cancel()
-	m.cancel, m.session, m.retiring, m.surplusSince = nil, nil, false, time.Time{}
+	e.cancel()
+	e.cancel, e.session, e.retiring, e.surplusSince = nil, nil, false, time.Time{}
 }
 
-// memberCounts holds the numbers of entries for GET /metrics.
-type memberCounts struct{ known, connected, local, down int64 }
+// entryCounts holds the numbers of entries for GET /metrics.
+type entryCounts struct{ known, connected, local, down int64 }
 
 // counts returns the current numbers. An alias counts as known, but never as down.
-func (d *dialers) counts() memberCounts {
+func (d *dialers) counts() entryCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var n memberCounts
+	var n entryCounts
 	now := time.Now()
-	for _, m := range d.known {
+	for _, e := range d.known {
 		n.known++
-		if m.session != nil {
+		if e.session != nil {
 			n.connected++
-			if m.dataCentre == d.agent.options.DataCentre {
+			if e.dataCentre == d.agent.options.DataCentre {
 				n.local++
 			}
 		}
-		if !m.alias && m.down(now) {
+		if !e.alias && e.down(now) {
 			n.down++
 		}
 	}
--- a/internal/runner/dialers.go
+++ b/internal/runner/dialers.go
@@ -35,14 +35,14 @@
 	// longer than a restart: with immediate replacement, each restart would move the sessions
 	// of a whole data centre there and back.
 	downAfter = 5 * time.Second
-	// downRetryInterval is the retry interval for an entry that has been replaced.
-	downRetryInterval = time.Second
+	// downRetryDelay is the retry delay for an entry that has been replaced.
+	downRetryDelay = time.Second
 	// unrecordedTTL is how long an address that no record names may be unreachable before it
 	// is removed: it was learned from an entry or the settings, and its host no longer exists.
 	unrecordedTTL = 2 * time.Minute
-	// aliasRetryInterval is the retry interval for an address of an entry that is connected at
+	// aliasRetryDelay is the retry delay for an address of an entry that is connected at
 	// another address.
-	aliasRetryInterval = 2 * time.Second
+	aliasRetryDelay = 2 * time.Second
 	// selectionDelay is how long changes of the known entries are collected before the
 	// selection is computed again: a read of the store delivers all records within it.
 	selectionDelay = 25 * time.Millisecond
@@ -298,10 +298,10 @@
 			event.Log(d.runner.log, event.SessionRetired, "entry", e.addr, "error", err.Error())
 			return
 		case errors.As(err, &alias):
-			clock.Sleep(ctx, aliasRetryInterval)
+			clock.Sleep(ctx, aliasRetryDelay)
 		case time.Since(lastReached) > downAfter:
 			d.markDown(e)
-			clock.Sleep(ctx, downRetryInterval)
+			clock.Sleep(ctx, downRetryDelay)
 		default:
 			clock.Sleep(ctx, delay)
 		}
