--- a/apps/camphorrack-demo/main.go
+++ b/apps/camphorrack-demo/main.go
@@ -34,11 +34,11 @@
 
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	options := demo.Options{
-		Bin: *bin, LogDir: *logs, Duration: *duration, Load: *load, Seed: *seed, Chaos: *chaos, Listen: *listen, Out: os.Stdout,
+		BinDir: *bin, LogDir: *logs, Duration: *duration, Load: *load, Seed: *seed, Chaos: *chaos, Listen: *listen, Out: os.Stdout,
 	}
 	run := demo.Run
 	if *keep {
-		run = demo.Keep
+		run = demo.RunIdleFleet
 	}
 	err := run(ctx, options)
 	stop()
--- a/internal/demo/chaos_test.go
+++ b/internal/demo/chaos_test.go
@@ -54,7 +54,7 @@
 		for _, seed := range seeds {
 			var out bytes.Buffer
 			logs := GinkgoT().TempDir()
-			err := Run(ctx, Options{Bin: bin, LogDir: logs, Duration: chaosDuration, Load: 0.5, Seed: seed, Chaos: true, Out: &out})
+			err := Run(ctx, Options{BinDir: bin, LogDir: logs, Duration: chaosDuration, Load: 0.5, Seed: seed, Chaos: true, Out: &out})
 			Expect(err).NotTo(HaveOccurred(), func() string { return fmt.Sprintf("seed %d\n%s%s", seed, &out, beliefs(logs)) })
 		}
 	})
--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -136,7 +136,7 @@
 func (o *operators) breach(rule Rule, id, detail string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.breaches = append(o.breaches, Breach{Rule: rule, ID: id, Detail: detail})
+	o.breaches = append(o.breaches, Breach{Rule: rule, Subject: id, Detail: detail})
 }
 
 func (o *operators) watchAlways(until context.Context) {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,7 +16,7 @@
 
 // Options of a run.
 type Options struct {
-	Bin      string
+	BinDir   string
 	LogDir   string
 	Duration time.Duration // for which work is submitted
 	Load     float64       // share of the targets' capacity
@@ -48,11 +48,11 @@
 	return entryCount
 }
 
-// ErrBroken says that an invariant did not hold; the breaches were printed.
-var ErrBroken = errors.New("an invariant was broken")
+// ErrInvariantBroken says that an invariant did not hold; the breaches were printed.
+var ErrInvariantBroken = errors.New("an invariant was broken")
 
 // Run starts a fleet, drives it, prints the table and stops everything. The error
-// is ErrBroken where the run found a breach.
+// is ErrInvariantBroken where the run found a breach.
 func Run(ctx context.Context, o Options) error {
 	f, err := start(ctx, o)
 	if err != nil {
@@ -71,13 +71,13 @@
 	verdict.Breaches = append(verdict.Breaches, run.operators.breaches...)
 	run.print(o.Out, verdict)
 	if len(verdict.Breaches) > 0 {
-		return ErrBroken
+		return ErrInvariantBroken
 	}
 	return nil
 }
 
-// Keep starts a fleet and leaves it running until ctx ends.
-func Keep(ctx context.Context, o Options) error {
+// RunIdleFleet starts a fleet and leaves it running until ctx ends.
+func RunIdleFleet(ctx context.Context, o Options) error {
 	f, err := start(ctx, o)
 	if err != nil {
 		return err
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -22,7 +22,7 @@
 }
 
 func start(ctx context.Context, o Options) (*deployment, error) {
-	s := &deployment{fleet: localfleet.New(localfleet.Options{BinDir: o.Bin, LogDir: o.LogDir, Key: rand.Text()})}
+	s := &deployment{fleet: localfleet.New(localfleet.Options{BinDir: o.BinDir, LogDir: o.LogDir, Key: rand.Text()})}
 	err := s.startAll(ctx, o)
 	if err == nil {
 		err = awaitTargets(ctx, s.entryAddrs(), len(speeds))
--- a/internal/demo/drive.go
+++ b/internal/demo/drive.go
@@ -143,7 +143,7 @@
 }
 
 // judge counts at the targets and compares.
-func (r *run) judge(ctx context.Context) (*Verdict, error) {
+func (r *run) judge(ctx context.Context) (*Result, error) {
 	pause(ctx, settleTime)
 	counted, perTarget, err := countStarts(ctx, addrs(r.deployment.targets))
 	if err != nil {
@@ -181,12 +181,12 @@
 	return sum, nil
 }
 
-func (v *Verdict) judgeProcesses(crashed, unclean []*localfleet.Process) {
+func (v *Result) judgeProcesses(crashed, unclean []*localfleet.Process) {
 	for _, p := range crashed {
-		v.breach(RuleProcesses, p.Name, "ended by itself; its last log lines: %q", p.LogTail())
+		v.breach(RuleProcessExit, p.Name, "ended by itself; its last log lines: %q", p.LogTail())
 	}
 	for _, p := range unclean {
-		v.breach(RuleProcesses, p.Name, "did not end gracefully after SIGTERM; its last log lines: %q", p.LogTail())
+		v.breach(RuleProcessExit, p.Name, "did not end gracefully after SIGTERM; its last log lines: %q", p.LogTail())
 	}
 }
 
--- a/internal/demo/path_test.go
+++ b/internal/demo/path_test.go
@@ -128,6 +128,6 @@
 		Expect(err).NotTo(HaveOccurred())
 		verdict := judge(callers.history.list(), counted, 2, never)
 		Expect(verdict.Breaches).To(BeEmpty())
-		Expect(verdict.Complete).To(Equal(30), "%s", verdict.LastLine())
+		Expect(verdict.Complete).To(Equal(30), "%s", verdict.SummaryLine())
 	})
 })
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -11,8 +11,8 @@
 // maxBreachesShown keeps a run that went all wrong readable.
 const maxBreachesShown = 20
 
-// print writes the table; its last line is Verdict.LastLine.
-func (r *run) print(out io.Writer, v *Verdict) {
+// print writes the table; its last line is Result.SummaryLine.
+func (r *run) print(out io.Writer, v *Result) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(what string, count int, note string) { fmt.Fprintf(table, "%s\t%d\t%s\n", what, count, note) }
 	row("jobs submitted", v.Jobs, "jobs and single requests, through every entry")
@@ -32,10 +32,10 @@
 	for _, name := range slices.Sorted(maps.Keys(v.Failures)) {
 		row("  "+name, v.Failures[name], "among the failed and refused")
 	}
-	row("unknown afterwards", v.LateUnknown, "asked again after the owner that had answered was lost")
+	row("unknown afterwards", v.UnknownAfterAnswer, "asked again after the owner that had answered was lost")
 	row("starts at targets", v.Starts, "counted by the targets")
-	row("starts that were used", v.Used, "their result was part of a complete answer")
-	row("starts of cancelled jobs", v.CalledOff, "among the others")
+	row("starts that were used", v.UsedStarts, "their result was part of a complete answer")
+	row("starts of cancelled jobs", v.CancelledStarts, "among the others")
 	row("started twice", v.StartedTwice, "tasks that may run at most once")
 	row("start messages", int(r.counts.Starts), "by the entries' own counters, as the next two")
 	row("  turned away", int(r.counts.NotRun), "an agent did not begin them")
@@ -49,9 +49,9 @@
 	table.Flush()
 	r.printTargets(out)
 	for _, b := range v.Breaches[:min(len(v.Breaches), maxBreachesShown)] {
-		fmt.Fprintf(out, "BREACH %s %s: %s\n", b.Rule, b.ID, b.Detail)
+		fmt.Fprintf(out, "BREACH %s %s: %s\n", b.Rule, b.Subject, b.Detail)
 	}
-	fmt.Fprintln(out, v.LastLine())
+	fmt.Fprintln(out, v.SummaryLine())
 }
 
 func (r *run) calls() int {
--- a/internal/demo/verdict.go
+++ b/internal/demo/verdict.go
@@ -17,73 +17,73 @@
 
 // The rules. Each is checked from what targets and callers saw.
 const (
-	RuleStartedTwice Rule = "started_twice" // a task that may run at most once was started twice
-	RuleOneAnswer    Rule = "one_answer"    // two callers got different answers to one id
-	RuleWhole        Rule = "whole"         // a complete answer lacks results, or has another task's
-	RuleAnswered     Rule = "answered"      // no answer by the deadline and its allowance
-	RuleNotRun       Rule = "not_run"       // an answer said "not run" of a task that was started
-	RuleCompleteRan  Rule = "complete_ran"  // a complete answer of a task that no target started
-	RuleOneWinner    Rule = "one_winner"    // two changes of the configuration on one base were both accepted
-	RuleConfigLate   Rule = "config_late"   // an accepted change is not in force everywhere in time
+	RuleStartedTwice    Rule = "started_twice" // a task that may run at most once was started twice
+	RuleOneAnswer       Rule = "one_answer"    // two callers got different answers to one id
+	RuleCompleteResults Rule = "whole"         // a complete answer lacks results, or has another task's
+	RuleAnswered        Rule = "answered"      // no answer by the deadline and its allowance
+	RuleNotRun          Rule = "not_run"       // an answer said "not run" of a task that was started
+	RuleCompleteRan     Rule = "complete_ran"  // a complete answer of a task that no target started
+	RuleOneWinner       Rule = "one_winner"    // two changes of the configuration on one base were both accepted
+	RuleConfigLate      Rule = "config_late"   // an accepted change is not in force everywhere in time
 	// RuleConfigReverts is broken by a process whose configuration goes back.
 	RuleConfigReverts Rule = "config_reverts"
 	// RuleConfigBehind is broken by a restarted process that enforces an older
 	// configuration than its predecessor did.
 	RuleConfigBehind Rule = "config_behind"
-	RuleProcesses    Rule = "processes" // a process crashed or had to be killed
+	RuleProcessExit  Rule = "processes" // a process crashed or had to be killed
 )
 
 // Breach is one broken rule.
 type Breach struct {
-	Rule   Rule
-	ID     string
-	Detail string
+	Rule    Rule
+	Subject string
+	Detail  string
 }
 
-// Verdict is the outcome of a run.
-type Verdict struct {
+// Result is the outcome of a run.
+type Result struct {
 	Jobs, Complete, Failed, Refused, Unanswered int
 	// StartedTwice counts tasks that may run at most once and were started again.
 	StartedTwice int
 	// P50 and P99 are of the response over the ideal, over complete answers.
 	P50, P99 float64
-	// Starts counts starts at targets; Used those whose result was part of a
+	// Starts counts starts at targets; UsedStarts those whose result was part of a
 	// complete answer.
-	Starts, Used int
-	// CalledOff counts starts of jobs that their callers cancelled: part of the
+	Starts, UsedStarts int
+	// CancelledStarts counts starts of jobs that their callers cancelled: part of the
 	// wasted starts that no dispatcher could have avoided.
-	CalledOff int
-	// LateUnknown counts callers who learned "outcome unknown" after another got the
+	CancelledStarts int
+	// UnknownAfterAnswer counts callers who learned "outcome unknown" after another got the
 	// answer of an owner that was ended or frozen since.
-	LateUnknown int
+	UnknownAfterAnswer int
 	// Failures counts failed and refused jobs by the name of their fault.
 	Failures map[string]int
 	Breaches []Breach
 }
 
-// Wasted is the share of starts that were never part of a complete answer, in percent.
-func (v *Verdict) Wasted() float64 {
+// WastedPercent is the share of starts that were never part of a complete answer, in percent.
+func (v *Result) WastedPercent() float64 {
 	if v.Starts == 0 {
 		return 0
 	}
-	return 100 * float64(v.Starts-v.Used) / float64(v.Starts)
+	return 100 * float64(v.Starts-v.UsedStarts) / float64(v.Starts)
 }
 
-// LastLine is the line that a run ends with.
-func (v *Verdict) LastLine() string {
+// SummaryLine is the line that a run ends with.
+func (v *Result) SummaryLine() string {
 	return fmt.Sprintf("jobs=%d complete=%d failed=%d refused=%d unanswered=%d started_twice=%d p50_ratio=%.2f p99_ratio=%.2f wasted=%.2f%%",
-		v.Jobs, v.Complete, v.Failed, v.Refused, v.Unanswered, v.StartedTwice, v.P50, v.P99, v.Wasted())
+		v.Jobs, v.Complete, v.Failed, v.Refused, v.Unanswered, v.StartedTwice, v.P50, v.P99, v.WastedPercent())
 }
 
-func (v *Verdict) breach(rule Rule, id, format string, args ...any) {
-	v.Breaches = append(v.Breaches, Breach{Rule: rule, ID: id, Detail: fmt.Sprintf(format, args...)})
+func (v *Result) breach(rule Rule, id, format string, args ...any) {
+	v.Breaches = append(v.Breaches, Breach{Rule: rule, Subject: id, Detail: fmt.Sprintf(format, args...)})
 }
 
 // judge compares what callers saw with what targets counted. fastest is the speed
 // of the fastest target.
 // Of an entry that was disturbed, "outcome unknown" may follow its own answer.
-func judge(all []*observed, counted starts, fastest float64, disturbed func(owner int) bool) *Verdict {
-	v := &Verdict{Jobs: len(all), Starts: counted.total(), Failures: map[string]int{}}
+func judge(all []*observed, counted starts, fastest float64, disturbed func(owner int) bool) *Result {
+	v := &Result{Jobs: len(all), Starts: counted.total(), Failures: map[string]int{}}
 	var ratios []float64
 	for _, o := range all {
 		v.judgeStarts(o, counted)
@@ -102,7 +102,7 @@
 	return v
 }
 
-func (v *Verdict) count(a *job.Answer) {
+func (v *Result) count(a *job.Answer) {
 	switch a.State {
 	case job.Complete:
 		v.Complete++
@@ -116,7 +116,7 @@
 	}
 }
 
-func (v *Verdict) judgeStarts(o *observed, counted starts) {
+func (v *Result) judgeStarts(o *observed, counted starts) {
 	if o.plan.submission.Idempotent {
 		return // may run again where its outcome is unknown
 	}
@@ -129,7 +129,7 @@
 }
 
 // judgeAnswers returns the one answer, or nil where a caller got none.
-func (v *Verdict) judgeAnswers(o *observed, disturbed bool) *job.Answer {
+func (v *Result) judgeAnswers(o *observed, disturbed bool) *job.Answer {
 	outcomes := o.inOrder()
 	var first *job.Answer
 	for _, s := range outcomes {
@@ -144,7 +144,7 @@
 			first = s.answer
 		}
 		if disturbed && follows(first, s.answer) {
-			v.LateUnknown++
+			v.UnknownAfterAnswer++
 			continue
 		}
 		if !same(first, s.answer) {
@@ -178,7 +178,7 @@
 	return s.answer == nil && errors.Is(s.err, &fault.Fault{Code: fault.AnswerExpired})
 }
 
-func (v *Verdict) judgeAgainstStarts(o *observed, a *job.Answer, counted starts) {
+func (v *Result) judgeAgainstStarts(o *observed, a *job.Answer, counted starts) {
 	if a.State == job.Complete {
 		v.judgeComplete(o, a, counted)
 		return
@@ -187,7 +187,7 @@
 	for i := range o.plan.submission.Tasks {
 		n := counted[taskKey(o.id, i)]
 		if cancelled {
-			v.CalledOff += n
+			v.CancelledStarts += n
 		}
 		if n > 0 && a.Failure != nil && a.Failure.NotRun {
 			v.breach(RuleNotRun, o.id, "%s, and task %d was started %d times", describe(a), i, n)
@@ -195,21 +195,21 @@
 	}
 }
 
-func (v *Verdict) judgeComplete(o *observed, a *job.Answer, counted starts) {
+func (v *Result) judgeComplete(o *observed, a *job.Answer, counted starts) {
 	tasks := len(o.plan.submission.Tasks)
 	if len(a.Results) != tasks {
-		v.breach(RuleWhole, o.id, "%d results for %d tasks", len(a.Results), tasks)
+		v.breach(RuleCompleteResults, o.id, "%d results for %d tasks", len(a.Results), tasks)
 		return
 	}
 	for i, result := range a.Results {
 		if want := echoOf(o.plan.unique, i); string(result) != want {
-			v.breach(RuleWhole, o.id, "task %d returned %q and not %q", i, result, want)
+			v.breach(RuleCompleteResults, o.id, "task %d returned %q and not %q", i, result, want)
 		}
 		if counted[taskKey(o.id, i)] == 0 {
 			v.breach(RuleCompleteRan, o.id, "no target started task %d", i)
 			continue
 		}
-		v.Used++ // one result a task, however often it was started
+		v.UsedStarts++ // one result a task, however often it was started
 	}
 }
 
--- a/internal/demo/verdict_test.go
+++ b/internal/demo/verdict_test.go
@@ -44,7 +44,7 @@
 	return &job.Answer{ID: id, State: job.Refused, Failure: fault.Refused(fault.Overloaded, "", time.Second)}
 }
 
-func rules(v *Verdict) []Rule {
+func rules(v *Result) []Rule {
 	var all []Rule
 	for _, b := range v.Breaches {
 		all = append(all, b.Rule)
@@ -59,7 +59,7 @@
 	It("finds nothing wrong with whole answers of tasks that ran once", func() {
 		v := judge([]*observed{twoTasks(whole, whole)}, onceEach, 3, never)
 		Expect(v.Breaches).To(BeEmpty())
-		Expect(v.LastLine()).To(Equal("jobs=1 complete=1 failed=0 refused=0 unanswered=0 started_twice=0 p50_ratio=2.50 p99_ratio=2.50 wasted=0.00%"))
+		Expect(v.SummaryLine()).To(Equal("jobs=1 complete=1 failed=0 refused=0 unanswered=0 started_twice=0 p50_ratio=2.50 p99_ratio=2.50 wasted=0.00%"))
 	})
 
 	It("counts starts whose result nobody used as wasted", func() {
@@ -67,7 +67,7 @@
 		v := judge([]*observed{twoTasks(failed)}, starts{id + "/0": 1}, 1, never)
 		Expect(v.Breaches).To(BeEmpty())
 		Expect(v.Failed).To(Equal(1))
-		Expect(v.Wasted()).To(Equal(100.0))
+		Expect(v.WastedPercent()).To(Equal(100.0))
 	})
 
 	It("allows an idempotent request to start again", func() {
@@ -75,7 +75,7 @@
 		o.plan.submission.Idempotent = true
 		v := judge([]*observed{o}, starts{id + "/0": 2, id + "/1": 1}, 1, never)
 		Expect(v.Breaches).To(BeEmpty())
-		Expect(v.Used).To(Equal(2))
+		Expect(v.UsedStarts).To(Equal(2))
 	})
 
 	DescribeTable("names the rule that was broken",
@@ -87,8 +87,8 @@
 		Entry("a task ran twice", twoTasks(whole), starts{id + "/0": 2, id + "/1": 1}, RuleStartedTwice),
 		Entry("two answers differ", twoTasks(whole, complete("x/0", "y/1")), onceEach, RuleOneAnswer),
 		Entry("one answer is final and the other a refusal", twoTasks(whole, refused()), onceEach, RuleOneAnswer),
-		Entry("a result is missing", twoTasks(complete("x/0")), onceEach, RuleWhole),
-		Entry("a result is another task's", twoTasks(complete("x/1", "x/0")), onceEach, RuleWhole),
+		Entry("a result is missing", twoTasks(complete("x/0")), onceEach, RuleCompleteResults),
+		Entry("a result is another task's", twoTasks(complete("x/1", "x/0")), onceEach, RuleCompleteResults),
 		Entry("no target started a task of a complete job", twoTasks(whole), starts{id + "/0": 1}, RuleCompleteRan),
 		Entry("a task of a refused job ran", twoTasks(refused()), starts{id + "/1": 1}, RuleNotRun),
 		Entry("a caller got no answer", withError(twoTasks(whole), &client.UndecidedError{ID: id}), onceEach, RuleAnswered),
@@ -102,7 +102,7 @@
 		gone := &job.Answer{ID: id, State: job.Failed, Failure: fault.New(fault.OwnerGone, "")}
 		v := judge([]*observed{twoTasks(whole, gone)}, onceEach, 1, always)
 		Expect(v.Breaches).To(BeEmpty())
-		Expect(v.LateUnknown).To(Equal(1))
+		Expect(v.UnknownAfterAnswer).To(Equal(1))
 		Expect(rules(judge([]*observed{twoTasks(gone, whole)}, onceEach, 1, always))).To(ContainElement(RuleOneAnswer))
 		Expect(rules(judge([]*observed{twoTasks(whole, gone)}, onceEach, 1, never))).To(ContainElement(RuleOneAnswer))
 	})
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -89,7 +89,7 @@
 			for _, order := range [][]string{{addrs[0], addrs[1]}, {addrs[1], addrs[0]}} {
 				callers.Go(func() { answers <- submitThrough(ctx, order, id, s) })
 			}
-			relays[random.IntN(2)].Cut(random.IntN(3) > 0, random.IntN(3) > 0)
+			relays[random.IntN(2)].BlackholeOpen(random.IntN(3) > 0, random.IntN(3) > 0)
 			time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 		}
 		callers.Wait()
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -119,7 +119,7 @@
 		entry := newEntrySide(fastOptions)
 		r := startRelay(entry.addr())
 		_, _, ended := agentSide(r.Addr(), fastOptions)
-		r.Cut(true, true)
+		r.BlackholeOpen(true, true)
 		// Either side may first detect missing frames or missing acknowledgements.
 		noticed := WithTransform(reasonOf, Or(Equal(session.ReasonSilent), Equal(session.ReasonUnacknowledged)))
 		Eventually(ended, "5s").Should(Receive(noticed))
@@ -138,7 +138,7 @@
 		entry := newEntrySide(session.Options{HeartbeatInterval: fastOptions.HeartbeatInterval, SilenceTimeout: time.Minute})
 		r := startRelay(entry.addr())
 		_, _, ended := agentSide(r.Addr(), fastOptions)
-		r.Cut(true, false)
+		r.BlackholeOpen(true, false)
 		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnacknowledged))))
 	})
 	It("ends when the entry's frames are lost and the agent's arrive", func() {
@@ -146,7 +146,7 @@
 		r := startRelay(entry.addr())
 		agentSide(r.Addr(), session.Options{HeartbeatInterval: fastOptions.HeartbeatInterval, SilenceTimeout: time.Minute})
 		Eventually(entry.conns).Should(Receive())
-		r.Cut(false, true)
+		r.BlackholeOpen(false, true)
 		Eventually(entry.ended, "5s").Should(Receive(WithTransform(reasonOf, Equal(session.ReasonUnacknowledged))))
 	})
 
@@ -159,7 +159,7 @@
 		r := startRelay(entry.addr())
 		conn, _, ended := agentSide(r.Addr(), o)
 		Consistently(ended, 2*o.SilenceTimeout).ShouldNot(Receive())
-		r.Cut(true, true)
+		r.BlackholeOpen(true, true)
 		Consistently(ended, 2*o.SilenceTimeout).ShouldNot(Receive())
 		conn.Send(&wire.ToEntry{Reports: []wire.Report{{Seq: 1}}})
 		Eventually(ended, "5s").Should(Receive(WithTransform(reasonOf, Not(Equal(session.ReasonLocal)))))
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -192,11 +192,11 @@
 			p.SetDelay(time.Duration(1+x.IntN(60)) * time.Millisecond)
 			return func() { p.SetDelay(0) }
 		case 1:
-			p.Cut(true, true)
+			p.BlackholeOpen(true, true)
 		case 2:
-			p.Cut(true, false)
+			p.BlackholeOpen(true, false)
 		case 3:
-			p.Cut(false, true)
+			p.BlackholeOpen(false, true)
 		default:
 			p.Reset()
 		}
@@ -207,12 +207,12 @@
 // darken cuts paths for old and new connections alike.
 func darken(paths []*relay.Relay) func() {
 	for _, p := range paths {
-		p.SetDark(true)
-		p.Cut(true, true)
+		p.SetBlackholeNew(true)
+		p.BlackholeOpen(true, true)
 	}
 	return func() {
 		for _, p := range paths {
-			p.SetDark(false)
+			p.SetBlackholeNew(false)
 		}
 	}
 }
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -57,9 +57,9 @@
 	r.target = addr
 }
 
-// Cut silences every connection that is open now, in the given directions, and
+// BlackholeOpen silences every connection that is open now, in the given directions, and
 // returns how many there were.
-func (r *Relay) Cut(up, down bool) int {
+func (r *Relay) BlackholeOpen(up, down bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pipes {
@@ -73,9 +73,9 @@
 	return len(r.pipes)
 }
 
-// SetDark makes later connections carry nothing, or work again. Those that were made
+// SetBlackholeNew makes later connections carry nothing, or work again. Those that were made
 // in the dark stay silent.
-func (r *Relay) SetDark(dark bool) {
+func (r *Relay) SetBlackholeNew(dark bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dark = dark
--- a/internal/standin/target/options.go
+++ b/internal/standin/target/options.go
@@ -9,17 +9,17 @@
 
 // Options are the stand-in's settings.
 type Options struct {
-	Listen       string
-	Agent        string // address of the agent to announce to
-	Name         string
-	Classes      string // comma separated
-	Slots        int
-	Speed        float64
-	Declared     float64 // speed that is announced; 0 means the real one
-	Connections  int
-	CPUMilli     int
-	MemoryMB     int
-	Accelerators int
+	Listen        string
+	Agent         string // address of the agent to announce to
+	Name          string
+	Classes       string // comma separated
+	Slots         int
+	Speed         float64
+	DeclaredSpeed float64 // speed that is announced; 0 means the real one
+	Connections   int
+	CPUMilli      int
+	MemoryMB      int
+	Accelerators  int
 }
 
 // Define adds the stand-in's settings to a set and returns where they will be read to.
@@ -31,7 +31,7 @@
 	s.StringVar(&o.Classes, "classes", "", "task classes it serves, comma separated; empty means all")
 	s.IntVar(&o.Slots, "slots", 8, "tasks it runs at a time")
 	s.Float64Var(&o.Speed, "speed", 1, "real speed: a task's run time is divided by it")
-	s.Float64Var(&o.Declared, "declared-speed", 0, "speed to announce (default: the real one)")
+	s.Float64Var(&o.DeclaredSpeed, "declared-speed", 0, "speed to announce (default: the real one)")
 	s.IntVar(&o.Connections, "connections", 64, "most connections the agent may open")
 	s.IntVar(&o.CPUMilli, "cpu-milli", 64000, "processors of the worker, in thousandths")
 	s.IntVar(&o.MemoryMB, "memory-mb", 262144, "memory of the worker")
@@ -39,7 +39,7 @@
 	s.AddCheck("listen", func() string { return settings.CheckAddr(o.Listen) })
 	s.AddCheck("agent", func() string { return settings.CheckAddr(o.Agent) })
 	s.AddCheck("speed", func() string {
-		if o.Speed <= 0 || o.Declared < 0 {
+		if o.Speed <= 0 || o.DeclaredSpeed < 0 {
 			return "speeds are above 0"
 		}
 		return ""
@@ -56,8 +56,8 @@
 func (o *Options) classes() []string { return settings.SplitList(o.Classes) }
 
 func (o *Options) declaredSpeed() float64 {
-	if o.Declared == 0 {
+	if o.DeclaredSpeed == 0 {
 		return o.Speed
 	}
-	return o.Declared
+	return o.DeclaredSpeed
 }
