--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,8 +1,8 @@
-// Package relay stands in for a network path with a device on it that can lose
-// track of connections. The connections that are open at that moment go silent for
-// good, in one direction or in both, while both of their ends believe them open;
-// connections made later work. The path can also be cut for a while for new
-// connections as well, be slow, or break what is open.
+// Package relay is a TCP proxy for tests that simulates network failures. It can drop all
+// further data on the open connections without closing them, in one direction or in both,
+// as a middlebox does that has lost its connection state: both ends still regard the
+// connection as open, and connections made later work. It can also drop the data of new
+// connections, delay data, and reset the open connections.
 package relay
 
 import (
@@ -16,144 +16,145 @@
 
 const bufferBytes = 32 << 10
 
-// Relay passes bytes between whoever dials it and its target.
+// Relay is a TCP proxy that forwards each accepted connection to its target address.
 type Relay struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	target string
-	pipes  map[*pipe]bool
-	dark   bool         // new connections are taken and carry nothing
-	delay  atomic.Int64 // of each piece of data, in nanoseconds
+	mu           sync.Mutex
+	target       string
+	conns        map[*proxiedConn]bool
+	blackholeNew bool         // new connections are accepted, but their data is dropped
+	delay        atomic.Int64 // added before each write, in nanoseconds
 }
 
-// pipe is one connection through the relay. What goes up is from the dialler.
-type pipe struct {
-	near, far        net.Conn
-	upLost, downLost atomic.Bool
+// proxiedConn is one client connection and its connection to the target. Upstream is the
+// direction from the client to the target.
+type proxiedConn struct {
+	clientConn, targetConn net.Conn
+	dropUp, dropDown       atomic.Bool
 }
 
-// New returns a relay that listens on a free port of loopback.
+// New returns a relay that listens on a free loopback port.
 func New() (*Relay, error) { return Listen("127.0.0.1:0") }
 
-// Listen returns a relay that listens on an address.
+// Listen returns a relay that listens on addr and accepts connections until Close.
 func Listen(addr string) (*Relay, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	r := &Relay{listener: listener, pipes: map[*pipe]bool{}}
-	go r.accept()
+	r := &Relay{listener: listener, conns: map[*proxiedConn]bool{}}
+	go r.acceptLoop()
 	return r, nil
 }
 
-// Addr returns the address to dial.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetTarget names the address that later connections lead to.
+// SetTarget sets the address to which connections accepted later are forwarded.
 func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = addr
 }
 
-// BlackholeOpen silences every connection that is open now, in the given directions, and
-// returns how many there were.
+// BlackholeOpen drops all further data of the connections that are open now, in the given
+// directions, without closing them. It returns the number of these connections.
 func (r *Relay) BlackholeOpen(up, down bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pipes {
+	for p := range r.conns {
 		if up {
-			p.upLost.Store(true)
+			p.dropUp.Store(true)
 		}
 		if down {
-			p.downLost.Store(true)
+			p.dropDown.Store(true)
 		}
 	}
-	return len(r.pipes)
+	return len(r.conns)
 }
 
-// SetBlackholeNew makes later connections carry nothing, or work again. Those that were made
-// in the dark stay silent.
-func (r *Relay) SetBlackholeNew(dark bool) {
+// SetBlackholeNew sets whether the data of connections accepted from now on is dropped. A
+// connection that was accepted while this was on stays blackholed after it is turned off.
+func (r *Relay) SetBlackholeNew(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dark = dark
+	r.blackholeNew = on
 }
 
-// SetDelay makes each piece of data take longer.
-func (r *Relay) SetDelay(by time.Duration) { r.delay.Store(int64(by)) }
+// SetDelay delays each forwarded chunk of data by the given time.
+func (r *Relay) SetDelay(delay time.Duration) { r.delay.Store(int64(delay)) }
 
-// Reset breaks every connection that is open now.
+// Reset closes every open connection; the client gets a TCP reset.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pipes {
-		if tcp, ok := p.near.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // closing it sends a reset
+	for p := range r.conns {
+		if tcp, ok := p.clientConn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // with a linger time of 0, Close sends a reset
 		}
 		p.close()
 	}
 }
 
-// Close ends the relay and every connection through it.
+// Close stops listening and closes every open connection.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pipes {
+	for p := range r.conns {
 		p.close()
 	}
 }
 
-func (r *Relay) accept() {
+func (r *Relay) acceptLoop() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(near)
+		go r.proxy(client)
 	}
 }
 
-func (r *Relay) carry(near net.Conn) {
+func (r *Relay) proxy(client net.Conn) {
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
-	far, err := net.Dial("tcp", target)
+	server, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	p := &pipe{near: near, far: far}
+	p := &proxiedConn{clientConn: client, targetConn: server}
 	r.mu.Lock()
-	p.upLost.Store(r.dark)
-	p.downLost.Store(r.dark)
-	r.pipes[p] = true
+	p.dropUp.Store(r.blackholeNew)
+	p.dropDown.Store(r.blackholeNew)
+	r.conns[p] = true
 	r.mu.Unlock()
-	var pumps sync.WaitGroup
-	pumps.Go(func() { pump(near, far, &p.upLost, &r.delay) })
-	pumps.Go(func() { pump(far, near, &p.downLost, &r.delay) })
-	pumps.Wait()
+	var streams sync.WaitGroup
+	streams.Go(func() { copyStream(client, server, &p.dropUp, &r.delay) })
+	streams.Go(func() { copyStream(server, client, &p.dropDown, &r.delay) })
+	streams.Wait()
 	p.close()
 	r.mu.Lock()
-	delete(r.pipes, p)
+	delete(r.conns, p)
 	r.mu.Unlock()
 }
 
-func (p *pipe) close() {
-	_ = p.near.Close()
-	_ = p.far.Close()
+func (p *proxiedConn) close() {
+	_ = p.clientConn.Close()
+	_ = p.targetConn.Close()
 }
 
-// pump passes bytes on until either end is closed. What was lost includes the news
-// that the sending end is closed.
-func pump(from, to net.Conn, lost *atomic.Bool, delay *atomic.Int64) {
+// copyStream forwards data from one connection to the other until either is closed. While
+// drop is set it discards the data, and doesn't forward the close of the sending side either.
+func copyStream(from, to net.Conn, drop *atomic.Bool, delay *atomic.Int64) {
 	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
 		time.Sleep(time.Duration(delay.Load()))
-		if lost.Load() {
+		if drop.Load() {
 			if err != nil {
 				return
 			}
