--- a/internal/standin/target/module.go
+++ b/internal/standin/target/module.go
@@ -11,22 +11,23 @@
 	"github.com/camphorrack/camphorrack/internal/logging"
 )
 
-// stopTimeout bounds the end of a leaving target: its longest tasks take seconds.
+// stopTimeout bounds the graceful shutdown, which waits for running tasks; the longest take
+// seconds.
 const stopTimeout = time.Minute
 
-// Module wires the stand-in for fx.
+// Module returns the fx module that runs the stand-in target.
 func Module(o *Options) fx.Option {
 	return fx.Options(
 		fx.Supply(*o),
 		fx.Provide(newLogger, New),
 		fx.StopTimeout(stopTimeout),
-		fx.Invoke(run),
+		fx.Invoke(registerHooks),
 	)
 }
 
 func newLogger() logr.Logger { return logging.New(os.Stderr, Program, logging.LevelInfo) }
 
-func run(life fx.Lifecycle, s *Server) {
+func registerHooks(life fx.Lifecycle, s *Server) {
 	life.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			s.Start()
--- a/internal/standin/target/options.go
+++ b/internal/standin/target/options.go
@@ -4,10 +4,10 @@
 	"github.com/camphorrack/camphorrack/internal/settings"
 )
 
-// Program is the stand-in's name.
+// Program is the program's name, in log lines and for settings.
 const Program = "camphorrack-standin-target"
 
-// Options are the stand-in's settings.
+// Options configures a stand-in target.
 type Options struct {
 	Listen        string
 	Agent         string // address of the agent to announce to
@@ -15,14 +15,15 @@
 	Classes       string // comma separated
 	Slots         int
 	Speed         float64
-	DeclaredSpeed float64 // speed that is announced; 0 means the real one
+	DeclaredSpeed float64 // announced speed; 0 means Speed
 	Connections   int
 	CPUMilli      int
 	MemoryMB      int
 	Accelerators  int
 }
 
-// Define adds the stand-in's settings to a set and returns where they will be read to.
+// Define registers the stand-in's settings in s and returns the Options that s fills when it
+// is loaded.
 func Define(s *settings.Set) *Options {
 	o := &Options{}
 	s.StringVar(&o.Listen, "listen", "127.0.0.1:0", "address for the agent's calls")
@@ -55,7 +56,7 @@
 
 func (o *Options) classes() []string { return settings.SplitList(o.Classes) }
 
-func (o *Options) declaredSpeed() float64 {
+func (o *Options) announcedSpeed() float64 {
 	if o.DeclaredSpeed == 0 {
 		return o.Speed
 	}
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -21,41 +21,41 @@
 )
 
 const (
-	// leaveQuiet is how long nothing may have started before a leaving target ends:
-	// the agent still runs starts that crossed its recall of slots.
-	leaveQuiet = 2 * time.Second
-	leavePoll  = 20 * time.Millisecond
-	// closeTimeout bounds the end of the last HTTP requests.
+	// shutdownQuietPeriod is the time without a start after which a draining target stops: the
+	// agent may still send starts that were under way when it withdrew the slots.
+	shutdownQuietPeriod  = 2 * time.Second
+	shutdownPollInterval = 20 * time.Millisecond
+	// closeTimeout bounds the shutdown of the HTTP server.
 	closeTimeout  = time.Second
 	headerTimeout = 5 * time.Second
-	// maxAnnounceTime keeps one announcement that hangs from holding up the next.
-	maxAnnounceTime = targetapi.AnnounceInterval
+	// announceTimeout prevents an announcement that hangs from delaying the next.
+	announceTimeout = targetapi.AnnounceInterval
 )
 
-// Server is the stand-in: a target with its HTTP interface and its announcements.
+// Server serves a Target over HTTP and announces it to its agent periodically.
 type Server struct {
-	o        Options
-	log      logr.Logger
-	target   *Target
-	listener net.Listener
-	server   *http.Server
-	client   *http.Client
-	stop     context.CancelFunc
-	done     sync.WaitGroup
+	options        Options
+	log            logr.Logger
+	target         *Target
+	listener       net.Listener
+	server         *http.Server
+	client         *http.Client
+	stopAnnouncing context.CancelFunc
+	done           sync.WaitGroup
 }
 
 func init() { gin.SetMode(gin.ReleaseMode) }
 
-// New returns a stand-in that is bound to its address but does not serve yet.
+// New returns a server that listens on its address but does not serve requests before Start.
 func New(o Options, log logr.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", o.Listen)
 	}
 	s := &Server{
-		o: o, log: log, listener: listener,
+		options: o, log: log, listener: listener,
 		target: newTarget(o.Slots, o.Speed),
-		client: &http.Client{Timeout: maxAnnounceTime},
+		client: &http.Client{Timeout: announceTimeout},
 	}
 	s.server = &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout}
 	return s, nil
@@ -64,31 +64,33 @@
 // Addr returns the bound address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Start serves and announces until Stop.
+// Start serves requests and sends announcements in the background until Stop.
 func (s *Server) Start() {
 	ctx, stop := context.WithCancel(context.Background())
-	s.stop = stop
+	s.stopAnnouncing = stop
 	s.done.Go(func() {
 		if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 			event.Log(s.log, event.ProcessStopping, "error", err.Error())
 		}
 	})
-	s.done.Go(func() { s.announceAlways(ctx) })
-	event.Log(s.log, event.ProcessStarted, "addr", s.Addr(), "target", s.o.Name, "slots", s.o.Slots, "speed", s.o.Speed)
+	s.done.Go(func() { s.announceLoop(ctx) })
+	event.Log(s.log, event.ProcessStarted, "addr", s.Addr(), "target", s.options.Name, "slots", s.options.Slots, "speed", s.options.Speed)
 }
 
-// Stop announces that the target leaves, finishes what runs and ends.
+// Stop drains the target: it announces that the target is leaving, waits at least
+// shutdownQuietPeriod, until no task is running and none has started for that time, and shuts
+// the HTTP server down. The end of ctx cuts the wait short and is returned as an error.
 func (s *Server) Stop(ctx context.Context) error {
 	event.Log(s.log, event.ProcessStopping)
-	s.target.leave()
+	s.target.drain()
 	s.announce(ctx)
-	left := time.Now()
-	poll := time.NewTicker(leavePoll)
+	drainedAt := time.Now()
+	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
-	for ctx.Err() == nil && (s.target.quietFor() < leaveQuiet || time.Since(left) < leaveQuiet) {
+	for ctx.Err() == nil && (s.target.idleTime() < shutdownQuietPeriod || time.Since(drainedAt) < shutdownQuietPeriod) {
 		<-poll.C
 	}
-	s.stop()
+	s.stopAnnouncing()
 	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	err := s.server.Shutdown(closing)
@@ -97,7 +99,7 @@
 	return errors.CombineErrors(ctx.Err(), err)
 }
 
-func (s *Server) announceAlways(ctx context.Context) {
+func (s *Server) announceLoop(ctx context.Context) {
 	tick := time.NewTicker(targetapi.AnnounceInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -109,22 +111,23 @@
 	}
 }
 
-// announce sends one announcement; the next one makes up for a loss.
+// announce sends one announcement. A failure is only logged, since announcements are repeated.
+// A frozen target announces nothing.
 func (s *Server) announce(ctx context.Context) {
-	if b, _ := s.target.behaves(); b.Mode == Freeze {
+	if b, _ := s.target.currentBehaviour(); b.Mode == Freeze {
 		return
 	}
-	if err := s.post(ctx); err != nil {
+	if err := s.postAnnouncement(ctx); err != nil {
 		event.Log(s.log.V(1), event.TargetFailed, "error", err.Error())
 	}
 }
 
-func (s *Server) post(ctx context.Context) error {
+func (s *Server) postAnnouncement(ctx context.Context) error {
 	body, err := json.Marshal(s.announcement())
 	if err != nil {
 		return err
 	}
-	url := "http://" + s.o.Agent + targetapi.AnnouncePath
+	url := "http://" + s.options.Agent + targetapi.AnnouncePath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -133,28 +136,28 @@
 	if err != nil {
 		return err
 	}
-	// Read to its end, the connection can be used again.
+	// The connection is reused only if the body has been read to its end.
 	_, err = io.Copy(io.Discard, response.Body)
 	return errors.CombineErrors(err, response.Body.Close())
 }
 
 func (s *Server) announcement() *targetapi.Announcement {
 	return &targetapi.Announcement{
-		Name: s.o.Name, Address: s.Addr(), Classes: s.o.classes(), Slots: s.o.Slots,
-		Speed: s.o.declaredSpeed(), Connections: s.o.Connections, CPUMilli: s.o.CPUMilli,
-		MemoryMB: s.o.MemoryMB, Accelerators: s.o.Accelerators, Leaving: s.target.isLeaving(),
+		Name: s.options.Name, Address: s.Addr(), Classes: s.options.classes(), Slots: s.options.Slots,
+		Speed: s.options.announcedSpeed(), Connections: s.options.Connections, CPUMilli: s.options.CPUMilli,
+		MemoryMB: s.options.MemoryMB, Accelerators: s.options.Accelerators, Leaving: s.target.isDraining(),
 	}
 }
 
 func (s *Server) handler() http.Handler {
 	g := gin.New()
-	g.POST(targetapi.RunPath, s.run)
-	g.GET("/starts", s.giveStarts)
-	g.POST("/mode", s.takeMode)
+	g.POST(targetapi.RunPath, s.handleRun)
+	g.GET("/starts", s.handleStarts)
+	g.POST("/mode", s.handleMode)
 	return g
 }
 
-func (s *Server) run(g *gin.Context) {
+func (s *Server) handleRun(g *gin.Context) {
 	var w Workload
 	body, err := io.ReadAll(io.LimitReader(g.Request.Body, job.MaxPayloadBytes+1))
 	if err == nil {
@@ -176,27 +179,27 @@
 	}
 }
 
-func (s *Server) giveStarts(g *gin.Context) {
+func (s *Server) handleStarts(g *gin.Context) {
 	g.JSON(http.StatusOK, s.target.snapshot(g.Query("log") == "1"))
 }
 
-func (s *Server) takeMode(g *gin.Context) {
+func (s *Server) handleMode(g *gin.Context) {
 	var b Behaviour
 	if err := json.NewDecoder(g.Request.Body).Decode(&b); err != nil {
-		refuse(g, fault.Input(fault.BadBody, "body", err.Error()))
+		writeFault(g, fault.Input(fault.BadBody, "body", err.Error()))
 		return
 	}
-	if err := b.check(); err != nil {
-		refuse(g, err)
+	if err := b.validate(); err != nil {
+		writeFault(g, err)
 		return
 	}
 	s.target.setBehaviour(b)
 	g.JSON(http.StatusOK, b)
 }
 
-func refuse(g *gin.Context, f *fault.Fault) { g.JSON(f.Code.Status(), f) }
+func writeFault(g *gin.Context, f *fault.Fault) { g.JSON(f.Code.Status(), f) }
 
-func (b *Behaviour) check() *fault.Fault {
+func (b *Behaviour) validate() *fault.Fault {
 	switch b.Mode {
 	case Slow:
 		if b.Factor <= 0 {
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,6 +1,6 @@
-// Package target is a small stand-in for a user's back end: it runs tasks that
-// only take time, can be told to misbehave, and counts every start on its own, so
-// that a test need not believe the system's counters.
+// Package target is a stand-in for a user's back end: it simulates tasks of a given run time,
+// can be switched to failure modes, and counts every start itself, so that tests don't depend
+// on the system's own counters.
 package target
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/camphorrack/camphorrack/internal/clock"
 )
 
-// Mode is how the target behaves.
+// Mode is a normal or faulty behaviour of the target.
 type Mode string
 
-// Modes. FailAll fails each task at once; Hang never answers; Slow takes Factor
-// times as long; Freeze does nothing at all any more, announcing included.
+// FailAll fails each task at once. Hang never completes a task. Slow multiplies run times by
+// Behaviour.Factor. Freeze completes no task and sends no announcements.
 const (
 	Normal  Mode = "normal"
 	FailAll Mode = "fail_all"
@@ -26,19 +26,19 @@
 	Freeze  Mode = "freeze"
 )
 
-// Behaviour is the body of POST /mode.
+// Behaviour is the body of POST /mode and of its response.
 type Behaviour struct {
 	Mode   Mode    `json:"mode"`
-	Factor float64 `json:"factor,omitempty"` // for Slow
+	Factor float64 `json:"factor,omitempty"` // run time multiplier, for Slow only
 }
 
-// Workload is the payload of a task.
+// Workload is the payload of a simulated task.
 type Workload struct {
-	RunMs float64 `json:"run_ms"` // real run time at speed 1
-	Echo  string  `json:"echo"`   // the result
+	RunMs float64 `json:"run_ms"` // run time at speed 1
+	Echo  string  `json:"echo"`   // returned as the result
 }
 
-// Run is one start in the log. Times are Unix microseconds that never go back.
+// Run is one entry of the start log. Times are Unix microseconds of a monotonic clock.
 type Run struct {
 	Task    string `json:"task"`
 	StartUs int64  `json:"start_us"`
@@ -46,40 +46,40 @@
 	Ended   string `json:"ended"`  // "succeeded", "failed" or "cut_off"
 }
 
-// Starts is the answer of GET /starts.
+// Starts is the response of GET /starts.
 type Starts struct {
-	Counts     map[string]int `json:"counts"` // starts of each "job/task"
+	Counts     map[string]int `json:"counts"` // number of starts by "job/task"
 	Total      int            `json:"total"`
 	Succeeded  int            `json:"succeeded"`
 	Failed     int            `json:"failed"`
 	CutOff     int            `json:"cut_off"`
 	MaxRunning int            `json:"max_running"`
-	Log        []Run          `json:"log,omitempty"` // with ?log=1
+	Log        []Run          `json:"log,omitempty"` // only with ?log=1
 }
 
-// Target holds the slots and the counts.
+// Target runs simulated tasks in a fixed number of slots and counts their starts and ends.
 type Target struct {
 	speed float64
 	slots *semaphore.Weighted
 	clock clock.Clock
 
-	mu        sync.Mutex
-	behaviour Behaviour
-	changed   chan struct{} // closed when the behaviour changes
-	leaving   bool
-	running   int
-	lastStart time.Time
-	starts    Starts
+	mu               sync.Mutex
+	behaviour        Behaviour
+	behaviourChanged chan struct{} // closed and replaced when the behaviour changes
+	draining         bool
+	running          int
+	lastStart        time.Time
+	starts           Starts
 }
 
 func newTarget(slots int, speed float64) *Target {
 	return &Target{
-		speed:     speed,
-		slots:     semaphore.NewWeighted(int64(slots)),
-		clock:     clock.NewAnchored(),
-		behaviour: Behaviour{Mode: Normal},
-		changed:   make(chan struct{}),
-		starts:    Starts{Counts: map[string]int{}},
+		speed:            speed,
+		slots:            semaphore.NewWeighted(int64(slots)),
+		clock:            clock.NewAnchored(),
+		behaviour:        Behaviour{Mode: Normal},
+		behaviourChanged: make(chan struct{}),
+		starts:           Starts{Counts: map[string]int{}},
 	}
 }
 
@@ -87,51 +87,52 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.behaviour = b
-	close(t.changed)
-	t.changed = make(chan struct{})
+	close(t.behaviourChanged)
+	t.behaviourChanged = make(chan struct{})
 }
 
-func (t *Target) behaves() (Behaviour, <-chan struct{}) {
+func (t *Target) currentBehaviour() (Behaviour, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.behaviour, t.changed
+	return t.behaviour, t.behaviourChanged
 }
 
-// result is how a task ended at the target.
-type result string
+// outcome is how a task ended.
+type outcome string
 
 const (
-	succeeded result = "succeeded"
-	failed    result = "failed"
-	cutOff    result = "cut_off" // the caller closed the connection
+	succeeded outcome = "succeeded"
+	failed    outcome = "failed"
+	cutOff    outcome = "cut_off" // the caller closed the connection
 )
 
-// run takes a slot and runs the task in it. started is false when ctx ended
-// before there was a slot.
-func (t *Target) run(ctx context.Context, task string, w *Workload) (r result, started bool) {
+// run waits for a free slot and runs the task in it. started is false if ctx ended before a
+// slot became free.
+func (t *Target) run(ctx context.Context, task string, w *Workload) (r outcome, started bool) {
 	if t.slots.Acquire(ctx, 1) != nil {
 		return cutOff, false
 	}
 	defer t.slots.Release(1)
-	at := t.begin(task)
-	r = t.spend(ctx, w)
-	t.end(at, r)
+	entry := t.recordStart(task)
+	r = t.simulate(ctx, w)
+	t.recordEnd(entry, r)
 	return r, true
 }
 
-// spend passes the task's time.
-func (t *Target) spend(ctx context.Context, w *Workload) result {
+// simulate waits for the run time of w, or as the current behaviour requires. It returns
+// cutOff when ctx ends first.
+func (t *Target) simulate(ctx context.Context, w *Workload) outcome {
 	for {
-		b, changed := t.behaves()
+		b, changed := t.currentBehaviour()
 		var done <-chan time.Time
 		switch b.Mode {
 		case FailAll:
 			return failed
 		case Hang, Freeze:
 		case Slow:
-			done = time.After(t.duration(w.RunMs * b.Factor))
+			done = time.After(t.scaledDuration(w.RunMs * b.Factor))
 		default:
-			done = time.After(t.duration(w.RunMs))
+			done = time.After(t.scaledDuration(w.RunMs))
 		}
 		select {
 		case <-ctx.Done():
@@ -140,14 +141,15 @@
 			return succeeded
 		case <-changed:
 			if b.Mode != Hang && b.Mode != Freeze {
-				// What runs already keeps its time; only what stands still is looked at again.
-				return t.wait(ctx, done)
+				// A change of the behaviour applies only to tasks that hang; running ones keep their
+				// run time.
+				return t.awaitEnd(ctx, done)
 			}
 		}
 	}
 }
 
-func (t *Target) wait(ctx context.Context, done <-chan time.Time) result {
+func (t *Target) awaitEnd(ctx context.Context, done <-chan time.Time) outcome {
 	select {
 	case <-ctx.Done():
 		return cutOff
@@ -156,11 +158,11 @@
 	}
 }
 
-func (t *Target) duration(ms float64) time.Duration {
+func (t *Target) scaledDuration(ms float64) time.Duration {
 	return time.Duration(ms / t.speed * float64(time.Millisecond))
 }
 
-func (t *Target) begin(task string) int {
+func (t *Target) recordStart(task string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running++
@@ -172,12 +174,12 @@
 	return len(t.starts.Log) - 1
 }
 
-func (t *Target) end(at int, r result) {
+func (t *Target) recordEnd(entry int, r outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
-	t.starts.Log[at].EndUs = t.clock.Now().UnixMicro()
-	t.starts.Log[at].Ended = string(r)
+	t.starts.Log[entry].EndUs = t.clock.Now().UnixMicro()
+	t.starts.Log[entry].Ended = string(r)
 	switch r {
 	case succeeded:
 		t.starts.Succeeded++
@@ -188,7 +190,7 @@
 	}
 }
 
-// snapshot copies the counts, and the log where it is wanted.
+// snapshot returns a copy of the counts, with the start log if withLog is set.
 func (t *Target) snapshot(withLog bool) Starts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,8 +207,9 @@
 	return s
 }
 
-// quietFor returns how long nothing has run; 0 while something does.
-func (t *Target) quietFor() time.Duration {
+// idleTime returns the time since the last start, or 0 while a task is running. Without any
+// start it exceeds every timeout.
+func (t *Target) idleTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.running > 0 {
@@ -215,14 +218,14 @@
 	return t.clock.Now().Sub(t.lastStart)
 }
 
-func (t *Target) leave() {
+func (t *Target) drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leaving = true
+	t.draining = true
 }
 
-func (t *Target) isLeaving() bool {
+func (t *Target) isDraining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.leaving
+	return t.draining
 }
