--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -12,50 +12,52 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// answerAllowance is how long after its deadline a final answer may come: an entry that
-// can't reach the owner calls the outcome unknown 2.5 s after it, takes up to two more to
-// find the owner silent, and is asked once the first entry has been silent for half a
-// second beyond its wait.
-const answerAllowance = 5 * time.Second
-
-// callers submits as independent callers would, and notes what they see.
+// answerGrace is how long after a job's deadline its final answer may arrive. An entry that
+// can't reach the owner reports the outcome as unknown 2.5 s after the deadline, needs up to
+// two more seconds to detect that the owner is unresponsive, and receives the call only when
+// the first entry hasn't responded within half a second beyond the wait.
+const answerGrace = 5 * time.Second
+
+// callers simulates independent callers: it submits jobs in the background through all
+// entries and records every outcome in history.
 type callers struct {
-	addrs   []string
-	clients []*client.Client // one an entry; each falls back to the others
-	history *history
-	calls   sync.WaitGroup
-	// within bounds a call by time in which the fleet is not paused as a whole: nobody can
-	// answer in the rest.
-	within func(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc)
+	entryAddrs []string
+	clients    []*client.Client // one per entry; each fails over to the other entries
+	history    *history
+	calls      sync.WaitGroup
+	// withTimeout limits a call by the time in which the fleet is not paused as a whole, since
+	// no entry can answer during such a pause.
+	withTimeout func(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc)
 
 	mu     sync.Mutex
-	tokens []string // one an entry
+	tokens []string // one per entry, for the ids of submissions
 }
 
 func newCallers(ctx context.Context, entries []string) (*callers, error) {
-	c := &callers{addrs: entries, history: &history{}, within: context.WithTimeout, tokens: make([]string, len(entries))}
+	c := &callers{entryAddrs: entries, history: &history{}, withTimeout: context.WithTimeout, tokens: make([]string, len(entries))}
 	for i := range entries {
-		first := append(append([]string(nil), entries[i:]...), entries[:i]...)
-		cl, err := client.New(client.Options{Entries: first})
+		ordered := append(append([]string(nil), entries[i:]...), entries[:i]...)
+		cl, err := client.New(client.Options{Entries: ordered})
 		if err != nil {
 			return nil, err
 		}
 		c.clients = append(c.clients, cl)
-		if err := c.refresh(ctx, i); err != nil {
+		if err := c.refreshToken(ctx, i); err != nil {
 			return nil, err
 		}
 	}
 	return c, nil
 }
 
-// refresh takes a new token from an entry.
-func (c *callers) refresh(ctx context.Context, entry int) error {
-	only, err := client.New(client.Options{Entries: c.addrs[entry : entry+1]})
+// refreshToken fetches a new token from an entry. A restarted entry needs one, since ids are
+// made of the token of the entry that owns them.
+func (c *callers) refreshToken(ctx context.Context, entry int) error {
+	single, err := client.New(client.Options{Entries: c.entryAddrs[entry : entry+1]})
 	if err != nil {
 		return err
 	}
-	defer only.Close()
-	token, err := only.Token(ctx)
+	defer single.Close()
+	token, err := single.Token(ctx)
 	if err != nil {
 		return errors.Wrap(err, "token")
 	}
@@ -71,55 +73,57 @@
 	return c.tokens[entry]
 }
 
-// place submits what is planned, in the background, and sends it twice or cancels it if so planned.
-func (c *callers) place(ctx context.Context, o *plan) {
-	at := time.Now()
-	seen := &observed{plan: o, id: client.NewID(c.token(o.owner), at.Add(o.deadline), o.unique)}
-	c.history.add(seen)
+// submitPlan carries out a plan in the background: it submits the job, and sends it twice or
+// cancels it if the plan says so.
+func (c *callers) submitPlan(ctx context.Context, p *plan) {
+	now := time.Now()
+	tracked := &trackedSubmission{plan: p, id: client.NewID(c.token(p.tokenEntry), now.Add(p.deadline), p.unique)}
+	c.history.add(tracked)
 	c.calls.Go(func() {
-		c.submit(ctx, seen, o.entry)
-		seen.finish()
+		c.submit(ctx, tracked, p.entry)
+		tracked.markFirstCallEnded()
 	})
-	if o.doubled {
+	if p.duplicated {
 		c.calls.Go(func() {
-			time.Sleep(o.doubleLag)
-			c.submit(ctx, seen, c.other(o.entry))
+			time.Sleep(p.duplicateDelay)
+			c.submit(ctx, tracked, c.otherEntry(p.entry))
 		})
 	}
-	if o.cancelled {
+	if p.cancelled {
 		c.calls.Go(func() {
-			time.Sleep(o.cancelLag)
-			c.cancel(ctx, c.other(o.entry), []*observed{seen})
+			time.Sleep(p.cancelDelay)
+			c.cancel(ctx, c.otherEntry(p.entry), []*trackedSubmission{tracked})
 		})
 	}
 }
 
-// again resubmits a submission through another entry than it went through first.
-func (c *callers) again(ctx context.Context, o *observed) {
-	c.calls.Go(func() { c.submit(ctx, o, c.other(o.plan.entry)) })
+// resubmit sends a submission again in the background, through another entry than the first.
+func (c *callers) resubmit(ctx context.Context, s *trackedSubmission) {
+	c.calls.Go(func() { c.submit(ctx, s, c.otherEntry(s.plan.entry)) })
 }
 
-func (c *callers) submit(ctx context.Context, o *observed, entry int) {
-	ctx, cancel := c.within(ctx, o.plan.deadline+answerAllowance)
+func (c *callers) submit(ctx context.Context, s *trackedSubmission, entry int) {
+	ctx, cancel := c.withTimeout(ctx, s.plan.deadline+answerGrace)
 	defer cancel()
-	begun := time.Now()
-	answer, err := c.clients[entry].Submit(ctx, o.id, o.plan.submission)
+	startedAt := time.Now()
+	answer, err := c.clients[entry].Submit(ctx, s.id, s.plan.submission)
 	now := time.Now()
-	o.see(outcome{entry: entry, answer: refusalAsAnswer(o.id, answer, err), err: err, at: now, response: now.Sub(begun)})
+	s.record(callOutcome{entry: entry, answer: refusalToAnswer(s.id, answer, err), err: err, receivedAt: now, responseTime: now.Sub(startedAt)})
 }
 
-// lookUp asks for an answer that was given before.
-func (c *callers) lookUp(ctx context.Context, o *observed, entry int) {
-	ctx, cancel := c.within(ctx, answerAllowance)
+// lookUp fetches an answer that was already given. It records nothing if the call fails.
+func (c *callers) lookUp(ctx context.Context, s *trackedSubmission, entry int) {
+	ctx, cancel := c.withTimeout(ctx, answerGrace)
 	defer cancel()
-	answer, err := c.clients[entry].Await(ctx, o.id)
+	answer, err := c.clients[entry].Await(ctx, s.id)
 	if err == nil {
-		o.see(outcome{entry: entry, answer: answer, at: time.Now()})
+		s.record(callOutcome{entry: entry, answer: answer, receivedAt: time.Now()})
 	}
 }
 
-// refusalAsAnswer turns a refusal of the request itself into the answer that it is.
-func refusalAsAnswer(id string, answer *job.Answer, err error) *job.Answer {
+// refusalToAnswer returns the answer of a call. If there is none and the error says that the
+// job was not run, it returns a refused answer with that error.
+func refusalToAnswer(id string, answer *job.Answer, err error) *job.Answer {
 	var f *fault.Fault
 	if answer != nil || !errors.As(err, &f) || !f.NotRun {
 		return answer
@@ -127,18 +131,19 @@
 	return &job.Answer{ID: id, State: job.Refused, Failure: f}
 }
 
-// cancel cancels many at once. What became of them shows in their answers.
-func (c *callers) cancel(ctx context.Context, entry int, wave []*observed) {
+// cancel cancels several submissions with one call. The outcome of each is taken from its
+// answer.
+func (c *callers) cancel(ctx context.Context, entry int, batch []*trackedSubmission) {
 	var ids []string
-	for _, o := range wave {
-		ids = append(ids, o.id)
+	for _, s := range batch {
+		ids = append(ids, s.id)
 	}
 	if len(ids) > 0 {
-		_, _ = c.clients[entry].Cancel(ctx, ids) // may be lost like any call; the jobs are then answered otherwise
+		_, _ = c.clients[entry].Cancel(ctx, ids) // the call may be lost; the jobs then get another answer
 	}
 }
 
-func (c *callers) other(entry int) int { return (entry + 1) % len(c.clients) }
+func (c *callers) otherEntry(entry int) int { return (entry + 1) % len(c.clients) }
 
 func (c *callers) close() {
 	for _, cl := range c.clients {
--- a/internal/demo/capacity.go
+++ b/internal/demo/capacity.go
@@ -9,39 +9,41 @@
 	"github.com/camphorrack/camphorrack/internal/client"
 )
 
-// The fleet: its targets differ in speed as machines bought over many years do.
+// Size of the fleet. Its targets differ in speed, as machines bought over many years do.
 const (
-	entryCount = 2
-	slots      = 8 // of each target
+	entryCount     = 2
+	slotsPerTarget = 8
 )
 
-var speeds = []float64{3, 2, 1, 1}
+var targetSpeeds = []float64{3, 2, 1, 1}
 
-// capacity is the seconds of work at speed 1 that the targets do in a second.
+// capacity returns the total throughput of the targets, in seconds of work at speed 1 per
+// second.
 func capacity() float64 {
 	sum := 0.0
-	for _, speed := range speeds {
-		sum += slots * speed
+	for _, speed := range targetSpeeds {
+		sum += slotsPerTarget * speed
 	}
 	return sum
 }
 
-func fastest() float64 {
+func fastestSpeed() float64 {
 	best := 0.0
-	for _, speed := range speeds {
+	for _, speed := range targetSpeeds {
 		best = max(best, speed)
 	}
 	return best
 }
 
 const (
-	readyTimeout = 15 * time.Second
-	readyPoll    = 50 * time.Millisecond
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
-var errNotReady = errors.New("the targets did not become known to every entry in time")
+var errNotReady = errors.New("not every entry reported all targets as usable in time")
 
-// awaitTargets waits until every entry may use every target.
+// awaitTargets waits until the given number of targets is available at every entry. It returns
+// errNotReady after readyTimeout.
 func awaitTargets(ctx context.Context, entries []string, targets int) error {
 	ctx, cancel := context.WithTimeoutCause(ctx, readyTimeout, errNotReady)
 	defer cancel()
@@ -50,11 +52,11 @@
 		if err != nil {
 			return err
 		}
-		for usable(ctx, c) < targets {
+		for usableTargets(ctx, c) < targets {
 			select {
 			case <-ctx.Done():
 				return errors.Wrap(context.Cause(ctx), entry)
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 		c.Close()
@@ -62,8 +64,9 @@
 	return nil
 }
 
-// usable counts the targets that the entry can use now.
-func usable(ctx context.Context, c *client.Client) int {
+// usableTargets returns how many targets an entry can currently send tasks to; 0 if the entry
+// does not respond.
+func usableTargets(ctx context.Context, c *client.Client) int {
 	targets, err := c.Targets(ctx)
 	if err != nil {
 		return 0
--- a/internal/demo/chaos.go
+++ b/internal/demo/chaos.go
@@ -16,77 +16,82 @@
 	"github.com/camphorrack/camphorrack/platform/standin"
 )
 
-// How often things go wrong in a chaos run, and for how long. A freeze lasts from
-// well below to well above the silence that ends a session.
+// Times between injected failures in a chaos run, and their durations. A freeze lasts from
+// well below to well above the silence timeout of a session.
 const (
-	minQuiet   = 300 * time.Millisecond
-	maxQuiet   = 2 * time.Second
-	minLasting = 200 * time.Millisecond
-	maxLasting = 4 * time.Second
-	slowFactor = 4
-	// drainPatience is how long a draining process may take: the longest job and
-	// the callers that still have to fetch its answer.
-	drainPatience = usualDeadline + 5*time.Second
+	minFailureGap      = 300 * time.Millisecond
+	maxFailureGap      = 2 * time.Second
+	minFailureDuration = 200 * time.Millisecond
+	maxFailureDuration = 4 * time.Second
+	slowdownFactor     = 4
+	// drainTimeout is how long a draining process may take. It covers the longest job and the
+	// time in which its callers fetch the answer.
+	drainTimeout = defaultDeadline + 5*time.Second
 )
 
-// injection is one thing that can go wrong with the victim of that index.
+// injection is a kind of failure. inject applies it to the process with index victim and ends
+// it after a random time.
 type injection struct {
-	name string
-	do   func(c *chaos, victim int) error
+	name   string
+	inject func(c *chaos, victim int) error
 }
 
-// entryInjections befall entries, workerInjections an agent or its target.
-// Targets are never killed: what they counted would be lost with them.
+// entryInjections apply to entries, workerInjections to an agent or its target. Targets are
+// never killed, since their start counts would be lost.
 var (
 	entryInjections = []injection{
 		{"entry killed", (*chaos).killEntry},
 		{"entry frozen", (*chaos).freezeEntry},
 		{"entry drained", (*chaos).drainEntry},
-		{"two entries killed", two((*chaos).killEntry)},
+		{"two entries killed", onTwo((*chaos).killEntry)},
 	}
 	workerInjections = []injection{
 		{"agent killed", (*chaos).killAgent},
 		{"agent frozen", (*chaos).freezeAgent},
 		{"agent drained", (*chaos).drainAgent},
-		{"two agents killed", two((*chaos).killAgent)},
+		{"two agents killed", onTwo((*chaos).killAgent)},
 		{"target frozen", (*chaos).freezeTarget},
-		{"target fails everything", behave(target.Behaviour{Mode: target.FailAll})},
-		{"target hangs", behave(target.Behaviour{Mode: target.Hang})},
-		{"target slow", behave(target.Behaviour{Mode: target.Slow, Factor: slowFactor})},
+		{"target fails everything", setTargetBehaviour(target.Behaviour{Mode: target.FailAll})},
+		{"target hangs", setTargetBehaviour(target.Behaviour{Mode: target.Hang})},
+		{"target slow", setTargetBehaviour(target.Behaviour{Mode: target.Slow, Factor: slowdownFactor})},
 	}
 )
 
-// logInjections befall the platform's log.
+// logInjections apply to the platform's log.
 var logInjections = []injection{
-	{"log down", misbehave(standin.StoreControl{Mode: standin.StoreUnavailable})},
-	{"log slow", misbehave(standin.StoreControl{DelayMs: 500})},
-	{"log loses answers", misbehave(standin.StoreControl{Mode: standin.StoreAppendAnswerLost})},
-	{"log unreadable", misbehave(standin.StoreControl{Mode: standin.StoreReadsUnavailable})},
-	{"log late", misbehave(standin.StoreControl{Mode: standin.StoreDelayedAppends})},
+	{"log down", setLogMode(standin.StoreControl{Mode: standin.StoreUnavailable})},
+	{"log slow", setLogMode(standin.StoreControl{DelayMs: 500})},
+	{"log loses answers", setLogMode(standin.StoreControl{Mode: standin.StoreAppendAnswerLost})},
+	{"log unreadable", setLogMode(standin.StoreControl{Mode: standin.StoreReadsUnavailable})},
+	{"log late", setLogMode(standin.StoreControl{Mode: standin.StoreDelayedAppends})},
 }
 
-// chaos injects failures into a running fleet at random, some
-// of the entries, some of the workers and the log at a time.
+// chaos injects random failures into a running fleet. Entries, workers and the log fail
+// independently of each other, so that their failures can overlap.
 type chaos struct {
 	run *run
-	// ctx outlives the injections, so that what was taken down comes up again.
+	// ctx outlives the injection loops, so that each failure in progress is still undone.
 	ctx context.Context
 
-	mu    sync.Mutex
-	count map[string]int
-	err   error
+	mu     sync.Mutex
+	counts map[string]int
+	err    error
 }
 
-// start begins to inject failures; the function that it returns ends that, waits until
-// everything is up again and returns the first error.
-func (r *run) start(ctx context.Context, seed uint64) (stop func() error) {
-	c := &chaos{run: r, ctx: ctx, count: r.injections}
+// startChaos starts to inject failures in the background. The returned function stops it,
+// waits until every failure has been undone, and returns the first error.
+func (r *run) startChaos(ctx context.Context, seed uint64) (stop func() error) {
+	c := &chaos{run: r, ctx: ctx, counts: r.injections}
 	until, cancel := context.WithCancel(ctx)
 	var loops sync.WaitGroup
-	loops.Go(func() { c.loop(until, rand.New(rand.NewPCG(seed, 1)), entryInjections, len(r.deployment.entries)) })
-	loops.Go(func() { c.loop(until, rand.New(rand.NewPCG(seed, 2)), workerInjections, len(r.deployment.agents)) })
-	loops.Go(func() { c.loop(until, rand.New(rand.NewPCG(seed, 3)), logInjections, 1) })
-	loops.Go(func() { c.standstills(until, rand.New(rand.NewPCG(seed, 4))) })
+	loops.Go(func() {
+		c.injectLoop(until, rand.New(rand.NewPCG(seed, 1)), entryInjections, len(r.deployment.entries))
+	})
+	loops.Go(func() {
+		c.injectLoop(until, rand.New(rand.NewPCG(seed, 2)), workerInjections, len(r.deployment.agents))
+	})
+	loops.Go(func() { c.injectLoop(until, rand.New(rand.NewPCG(seed, 3)), logInjections, 1) })
+	loops.Go(func() { c.pauseLoop(until, rand.New(rand.NewPCG(seed, 4))) })
 	return func() error {
 		cancel()
 		loops.Wait()
@@ -94,25 +99,28 @@
 	}
 }
 
-func (c *chaos) loop(until context.Context, random *rand.Rand, kinds []injection, victims int) {
+// injectLoop applies random injections to random victims, one at a time, until the context ends or
+// one fails.
+func (c *chaos) injectLoop(until context.Context, random *rand.Rand, kinds []injection, victims int) {
 	for until.Err() == nil {
-		pause(until, between(random, minQuiet, maxQuiet))
+		sleep(until, randomDuration(random, minFailureGap, maxFailureGap))
 		kind := kinds[random.IntN(len(kinds))]
-		if err := kind.do(c, random.IntN(victims)); err != nil {
-			c.fail(errors.Wrap(err, kind.name))
+		if err := kind.inject(c, random.IntN(victims)); err != nil {
+			c.setError(errors.Wrap(err, kind.name))
 			return
 		}
-		c.counted(kind.name)
+		c.countInjection(kind.name)
 	}
 }
 
-func (c *chaos) counted(name string) {
+func (c *chaos) countInjection(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.count[name]++
+	c.counts[name]++
 }
 
-func (c *chaos) fail(err error) {
+// setError stores the first error.
+func (c *chaos) setError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err == nil {
@@ -120,40 +128,40 @@
 	}
 }
 
-func between(random *rand.Rand, low, high time.Duration) time.Duration {
+func randomDuration(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
 
-// lasting draws how long an injected failure lasts. It is not part of the seeded draws,
-// since timing on real processes differs from run to run anyway.
-func lasting() time.Duration {
-	return minLasting + rand.N(maxLasting-minLasting)
+// failureDuration returns a random duration for an injected failure. It is not drawn from the
+// seed, since the timing of real processes differs between runs anyway.
+func failureDuration() time.Duration {
+	return minFailureDuration + rand.N(maxFailureDuration-minFailureDuration)
 }
 
-// two does an injection to the victim and its neighbour at a time, as the loss of a
-// rack or a switch does.
-func two(do func(*chaos, int) error) func(*chaos, int) error {
+// onTwo applies an injection to the victim and the process after it at the same time, to
+// simulate the loss of a rack or a switch.
+func onTwo(inject func(*chaos, int) error) func(*chaos, int) error {
 	return func(c *chaos, victim int) error {
 		var other error
 		var both sync.WaitGroup
-		both.Go(func() { other = do(c, victim+1) })
-		err := do(c, victim)
+		both.Go(func() { other = inject(c, victim+1) })
+		err := inject(c, victim)
 		both.Wait()
 		return errors.CombineErrors(err, other)
 	}
 }
 
 func (c *chaos) killEntry(victim int) error {
-	victim %= len(c.run.disturbed)
-	c.run.disturbed[victim].Store(true)
+	victim %= len(c.run.disrupted)
+	c.run.disrupted[victim].Store(true)
 	c.run.deployment.entry(victim).Kill()
-	pause(c.ctx, lasting())
+	sleep(c.ctx, failureDuration())
 	return c.restartEntry(victim)
 }
 
 func (c *chaos) drainEntry(victim int) error {
-	c.run.disturbed[victim].Store(true)
-	if !c.run.deployment.entry(victim).StopWithin(drainPatience) {
+	c.run.disrupted[victim].Store(true)
+	if !c.run.deployment.entry(victim).StopWithin(drainTimeout) {
 		return errors.Newf("%s did not end gracefully", c.run.deployment.entry(victim).Name)
 	}
 	return c.restartEntry(victim)
@@ -163,60 +171,66 @@
 	if err := c.run.deployment.restartEntry(c.ctx, victim); err != nil {
 		return err
 	}
-	return c.run.callers.refresh(c.ctx, victim)
+	return c.run.callers.refreshToken(c.ctx, victim)
 }
 
 func (c *chaos) freezeEntry(victim int) error {
-	c.run.disturbed[victim].Store(true)
-	return c.freeze(c.run.deployment.entry(victim))
+	c.run.disrupted[victim].Store(true)
+	return c.pauseAndResume(c.run.deployment.entry(victim))
 }
 
-func (c *chaos) freeze(p *localfleet.Process) error {
+func (c *chaos) pauseAndResume(p *localfleet.Process) error {
 	p.Pause()
-	pause(c.ctx, lasting())
+	sleep(c.ctx, failureDuration())
 	p.Resume()
 	return nil
 }
 
 func (c *chaos) killAgent(victim int) error {
-	victim %= len(speeds)
+	victim %= len(targetSpeeds)
 	c.run.deployment.agent(victim).Kill()
-	pause(c.ctx, lasting())
+	sleep(c.ctx, failureDuration())
 	return c.run.deployment.restartAgent(c.ctx, victim)
 }
 
-func (c *chaos) freezeAgent(victim int) error { return c.freeze(c.run.deployment.agent(victim)) }
+func (c *chaos) freezeAgent(victim int) error {
+	return c.pauseAndResume(c.run.deployment.agent(victim))
+}
 
 func (c *chaos) drainAgent(victim int) error {
-	if !c.run.deployment.agent(victim).StopWithin(drainPatience) {
+	if !c.run.deployment.agent(victim).StopWithin(drainTimeout) {
 		return errors.Newf("%s did not end gracefully", c.run.deployment.agent(victim).Name)
 	}
 	return c.run.deployment.restartAgent(c.ctx, victim)
 }
 
-func (c *chaos) freezeTarget(victim int) error { return c.freeze(c.run.deployment.targets[victim]) }
+func (c *chaos) freezeTarget(victim int) error {
+	return c.pauseAndResume(c.run.deployment.targets[victim])
+}
 
-// behave makes a target misbehave for a while.
-func behave(b target.Behaviour) func(*chaos, int) error {
+// setTargetBehaviour returns an injection that switches a target to behaviour for a random
+// time.
+func setTargetBehaviour(behaviour target.Behaviour) func(*chaos, int) error {
 	return func(c *chaos, victim int) error {
-		path := "http://" + c.run.deployment.targets[victim].Addr + "/mode"
-		return c.forAWhile(path, b, target.Behaviour{Mode: target.Normal})
+		url := "http://" + c.run.deployment.targets[victim].Addr + "/mode"
+		return c.postTemporarily(url, behaviour, target.Behaviour{Mode: target.Normal})
 	}
 }
 
-// misbehave makes the log misbehave for a while.
-func misbehave(m standin.StoreControl) func(*chaos, int) error {
+// setLogMode returns an injection that applies control to the log stand-in for a random time.
+func setLogMode(control standin.StoreControl) func(*chaos, int) error {
 	return func(c *chaos, _ int) error {
-		return c.forAWhile(c.run.deployment.logURL()+"/control", m, standin.StoreControl{Mode: standin.StoreNormal})
+		return c.postTemporarily(c.run.deployment.logURL()+"/control", control, standin.StoreControl{Mode: standin.StoreNormal})
 	}
 }
 
-// forAWhile posts one order to a stand-in and later the other.
-func (c *chaos) forAWhile(url string, begin, end any) error {
+// postTemporarily posts begin to the control endpoint of a stand-in, and end after a random
+// time.
+func (c *chaos) postTemporarily(url string, begin, end any) error {
 	if err := post(c.ctx, url, begin); err != nil {
 		return err
 	}
-	pause(c.ctx, lasting())
+	sleep(c.ctx, failureDuration())
 	return post(c.ctx, url, end)
 }
 
--- a/internal/demo/chaos_test.go
+++ b/internal/demo/chaos_test.go
@@ -14,25 +14,25 @@
 	. "github.com/onsi/gomega"
 )
 
-// chaosDuration is for how long each seed's failures go on.
+// chaosDuration is how long failures are injected with each seed.
 const chaosDuration = 15 * time.Second
 
-// beliefs returns what the logs of a run tell of its processes' starts, standstills and
-// configuration: enough to trace a breach of a configuration's rule.
-func beliefs(logs string) string {
+// configurationLogLines returns the log lines of a run about process starts, stalls and the
+// configuration, which are needed to trace a breach of a configuration rule.
+func configurationLogLines(logs string) string {
 	files, err := filepath.Glob(filepath.Join(logs, "*.log"))
 	Expect(err).NotTo(HaveOccurred())
-	var told strings.Builder
+	var lines strings.Builder
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		Expect(err).NotTo(HaveOccurred())
 		for line := range strings.Lines(string(text)) {
 			if strings.Contains(line, `"msg":"config_`) || strings.Contains(line, `"msg":"process_`) {
-				fmt.Fprintf(&told, "%s %s", filepath.Base(file), line)
+				fmt.Fprintf(&lines, "%s %s", filepath.Base(file), line)
 			}
 		}
 	}
-	return told.String()
+	return lines.String()
 }
 
 var _ = Describe("a fleet of real processes", func() {
@@ -43,19 +43,19 @@
 		return bin
 	}
 
-	// Guards against promises that hold only while processes move: entries, agents, targets
-	// and the log fail by the seed, and now and then all of them stand still.
+	// Guards against invariants that hold only while all processes run. Entries, agents, targets
+	// and the log fail at random, drawn from the seed, and at times all processes are paused.
 	It("keeps its promises through failures and standstills", func(ctx context.Context) {
 		bin := buildPrograms()
 		seeds := []uint64{
-			11, // a caller's job without an answer; a restarted entry behind its predecessor
-			23, // a restarted entry behind its predecessor
+			11, // found a job without an answer, and a restarted entry with an older configuration than before
+			23, // found a restarted entry with an older configuration than before
 		}
 		for _, seed := range seeds {
 			var out bytes.Buffer
 			logs := GinkgoT().TempDir()
 			err := Run(ctx, Options{BinDir: bin, LogDir: logs, Duration: chaosDuration, Load: 0.5, Seed: seed, Chaos: true, Out: &out})
-			Expect(err).NotTo(HaveOccurred(), func() string { return fmt.Sprintf("seed %d\n%s%s", seed, &out, beliefs(logs)) })
+			Expect(err).NotTo(HaveOccurred(), func() string { return fmt.Sprintf("seed %d\n%s%s", seed, &out, configurationLogLines(logs)) })
 		}
 	})
 })
--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -17,83 +17,83 @@
 )
 
 const (
-	changeEvery = 700 * time.Millisecond
-	watchEvery  = 50 * time.Millisecond
-	// watchTimeout is short, so that a frozen daemon does not hold up the watch
-	// over the others.
-	watchTimeout = 300 * time.Millisecond
-	// inForceWithin is the users' own figure for a change to be in force everywhere.
-	inForceWithin = 13 * time.Second
-	// changedKey is a setting that no healthy target notices.
+	changeInterval = 700 * time.Millisecond
+	pollInterval   = 50 * time.Millisecond
+	// pollTimeout is short, so that a frozen daemon does not delay polling the others.
+	pollTimeout = 300 * time.Millisecond
+	// propagationTimeout is the users' requirement for a change to be in force everywhere.
+	propagationTimeout = 13 * time.Second
+	// changedKey is a setting that does not affect healthy targets.
 	changedKey = config.Key("health.last_trial_ms")
 	firstValue = 30_000
-	// nobody stands for a version where no daemon answered.
-	nobody = uint64(math.MaxUint64)
+	// noVersion is the lowest version if no daemon answered.
+	noVersion = uint64(math.MaxUint64)
 )
 
-// operators change the configuration all the time, two at once on the same base,
-// and watch what every daemon has in force.
+// operators simulates operators that publish configuration changes continuously, two at a time
+// on the same base, and polls the version that each daemon has in force.
 type operators struct {
 	deployment *deployment
 	publisher  *config.Publisher
 
-	mu        sync.Mutex
-	accepted  []change
-	conflicts int
-	notTaken  int
-	undecided int
-	seen      map[*localfleet.Process]uint64 // highest version that each process had
-	inForce   map[string]uint64              // the same by name, across restarts
-	// without counts sightings of a daemon that had come up and not yet learned the
-	// configuration that its predecessor had in force.
-	without  int
-	breaches []Breach
-	longest  time.Duration // until a change was in force everywhere
+	mu            sync.Mutex
+	accepted      []change
+	conflicts     int
+	notAccepted   int
+	undecided     int
+	highestSeen   map[*localfleet.Process]uint64 // highest version received from each process
+	highestByName map[string]uint64              // the same by process name, across restarts
+	// unconfigured counts polls of a restarted daemon that had no configuration yet although its
+	// predecessor had one in force.
+	unconfigured   int
+	breaches       []Breach
+	maxPropagation time.Duration // longest time until a change was in force everywhere
 }
 
-// change is an accepted change and whether every daemon has it.
+// change is an accepted change. inForce is set once every daemon that answers has it.
 type change struct {
 	version    uint64
-	at         time.Time
-	everywhere bool
+	acceptedAt time.Time
+	inForce    bool
 }
 
 func newOperators(d *deployment) *operators {
 	log := store.New(d.logURL())
 	return &operators{
-		deployment: d, publisher: config.NewPublisher(log, 0), seen: map[*localfleet.Process]uint64{}, inForce: map[string]uint64{},
+		deployment: d, publisher: config.NewPublisher(log, 0), highestSeen: map[*localfleet.Process]uint64{}, highestByName: map[string]uint64{},
 	}
 }
 
-// start begins to change and to watch; the function that it returns ends the
-// changes, waits until the last is in force everywhere, and ends the watch.
+// start begins to publish changes and to poll in the background. The returned function stops
+// the changes, waits until the last is in force everywhere, and stops polling.
 func (o *operators) start(ctx context.Context) (stop func()) {
-	changing, endChanges := context.WithCancel(ctx)
-	watching, endWatch := context.WithCancel(ctx)
-	var changes, watch sync.WaitGroup
-	changes.Go(func() { o.changeAlways(ctx, changing) })
-	watch.Go(func() { o.watchAlways(watching) })
+	publishing, stopPublishing := context.WithCancel(ctx)
+	polling, stopPolling := context.WithCancel(ctx)
+	var changes, polls sync.WaitGroup
+	changes.Go(func() { o.changeLoop(ctx, publishing) })
+	polls.Go(func() { o.pollLoop(polling) })
 	return func() {
-		endChanges()
+		stopPublishing()
 		changes.Wait()
-		o.settle(ctx)
-		endWatch()
-		watch.Wait()
+		o.awaitInForce(ctx)
+		stopPolling()
+		polls.Wait()
 	}
 }
 
-func (o *operators) changeAlways(ctx, until context.Context) {
+func (o *operators) changeLoop(ctx, until context.Context) {
 	for value := int64(firstValue); until.Err() == nil; value += 2 {
-		o.race(ctx, value)
-		pause(until, changeEvery)
+		o.publishConcurrently(ctx, value)
+		sleep(until, changeInterval)
 	}
 }
 
-// race makes two changes on one base; at most one may be accepted.
-func (o *operators) race(ctx context.Context, value int64) {
+// publishConcurrently publishes two changes on one base at the same time. That both are accepted
+// is a breach.
+func (o *operators) publishConcurrently(ctx context.Context, value int64) {
 	fold, _, err := o.publisher.Load(ctx)
 	if err != nil {
-		o.note(nil, err)
+		o.recordAttempt(nil, err)
 		return
 	}
 	base := fold.State().Version
@@ -106,151 +106,155 @@
 				Base: base, Author: fmt.Sprintf("operator-%d", i+1), Reason: "demonstration", AtMs: time.Now().UnixMilli(),
 				Set: []config.Setting{{Key: changedKey, Value: value + int64(i)}},
 			})
-			o.note(states[i], err)
+			o.recordAttempt(states[i], err)
 		})
 	}
 	both.Wait()
 	if states[0] != nil && states[1] != nil {
-		o.breach(RuleOneWinner, "version "+fmt.Sprint(base), "two changes on one base were both accepted")
+		o.addBreach(RuleOneWinner, "version "+fmt.Sprint(base), "two changes on one base were both accepted")
 	}
 }
 
-// note counts how an attempt to change ended.
-func (o *operators) note(accepted *config.State, err error) {
+// recordAttempt counts the result of an attempt to publish a change.
+func (o *operators) recordAttempt(accepted *config.State, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var f *fault.Fault
 	switch {
 	case err == nil:
-		o.accepted = append(o.accepted, change{version: accepted.Version, at: time.Now()})
+		o.accepted = append(o.accepted, change{version: accepted.Version, acceptedAt: time.Now()})
 	case !errors.As(err, &f):
 	case f.Code == fault.ConfigConflict:
 		o.conflicts++
 	case f.Code == fault.ConfigNotTaken:
-		o.notTaken++
+		o.notAccepted++
 	case f.Code == fault.ConfigUndecided:
 		o.undecided++
 	}
 }
 
-func (o *operators) breach(rule Rule, id, detail string) {
+func (o *operators) addBreach(rule Rule, subject, detail string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.breaches = append(o.breaches, Breach{Rule: rule, Subject: id, Detail: detail})
+	o.breaches = append(o.breaches, Breach{Rule: rule, Subject: subject, Detail: detail})
 }
 
-func (o *operators) watchAlways(until context.Context) {
+func (o *operators) pollLoop(until context.Context) {
 	for until.Err() == nil {
-		if lowest, _ := o.look(until); lowest != nobody {
-			o.reached(lowest)
+		if lowest, _ := o.pollVersions(until); lowest != noVersion {
+			o.markInForce(lowest)
 		}
-		pause(until, watchEvery)
+		sleep(until, pollInterval)
 	}
 }
 
-// look asks every daemon for its version. It returns the lowest of those that
-// answered, or nobody, and whether all did: one that is down or frozen enforces nothing.
-func (o *operators) look(ctx context.Context) (lowest uint64, all bool) {
+// pollVersions queries every daemon for its version. It returns the lowest of the versions
+// received, or noVersion, and whether all daemons answered. A daemon that is down or frozen
+// enforces nothing, so it may be left out.
+func (o *operators) pollVersions(ctx context.Context) (lowest uint64, allAnswered bool) {
 	daemons := o.deployment.daemons()
 	versions := make([]*uint64, len(daemons))
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	for i, p := range daemons {
-		asked.Go(func() { versions[i] = o.versionOf(ctx, p) })
+		queries.Go(func() { versions[i] = o.pollVersion(ctx, p) })
 	}
-	asked.Wait()
-	lowest, all = nobody, true
+	queries.Wait()
+	lowest, allAnswered = noVersion, true
 	for _, v := range versions {
 		if v == nil {
-			all = false
+			allAnswered = false
 			continue
 		}
 		lowest = min(lowest, *v)
 	}
-	return lowest, all
+	return lowest, allAnswered
 }
 
-// versionOf returns the version in force at a daemon; nil where it can't be asked.
-func (o *operators) versionOf(ctx context.Context, p *localfleet.Process) *uint64 {
-	c, err := client.New(client.Options{Entries: []string{p.Addr}, CallTimeout: watchTimeout})
+// pollVersion returns the version in force at a daemon, or nil if the daemon did not answer.
+func (o *operators) pollVersion(ctx context.Context, p *localfleet.Process) *uint64 {
+	c, err := client.New(client.Options{Entries: []string{p.Addr}, CallTimeout: pollTimeout})
 	if err != nil {
 		return nil
 	}
 	defer c.Close()
-	had := o.had(p)
+	highestBefore := o.highestVersion(p)
 	state, err := c.Config(ctx)
 	if err != nil || p.Exited() {
-		return nil // a reply may have come from its successor
+		return nil // the reply may be that of its successor
 	}
-	o.saw(p, state.Version, had)
+	o.recordVersion(p, state.Version, highestBefore)
 	return &state.Version
 }
 
-// had returns the highest version that a process was seen with.
-func (o *operators) had(p *localfleet.Process) uint64 {
+// highestVersion returns the highest version received from a process.
+func (o *operators) highestVersion(p *localfleet.Process) uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.seen[p]
+	return o.highestSeen[p]
 }
 
-// saw checks a version against what the process had when it was asked, since answers to
-// calls that overlap may be read in any order, and against what its predecessors at the
-// same address had in force. A process that is behind its predecessor is one breach,
-// however long it lasts.
-func (o *operators) saw(p *localfleet.Process, version, had uint64) {
+// recordVersion compares a version with highestBefore, the highest version received from the
+// process before it was queried, since answers to overlapping calls may be read in any order. It
+// also compares it with the highest version of the predecessors at the same address. A process
+// that is behind its predecessor counts as one breach, however long that lasts.
+func (o *operators) recordVersion(p *localfleet.Process, version, highestBefore uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	own, known := o.seen[p]
-	before := o.inForce[p.Name]
-	o.seen[p] = max(own, version)
-	o.inForce[p.Name] = max(before, version)
-	detail := fmt.Sprintf("version %d after version %d", version, before)
+	own, known := o.highestSeen[p]
+	highest := o.highestByName[p.Name]
+	o.highestSeen[p] = max(own, version)
+	o.highestByName[p.Name] = max(highest, version)
+	detail := fmt.Sprintf("version %d after version %d", version, highest)
 	switch {
-	case version < had:
+	case version < highestBefore:
 		o.breaches = append(o.breaches, Breach{RuleConfigReverts, p.Name, detail})
-	case version == 0 && before > 0:
-		o.without++
-	case version < before && (!known || own == 0):
+	case version == 0 && highest > 0:
+		o.unconfigured++
+	case version < highest && (!known || own == 0):
 		o.breaches = append(o.breaches, Breach{RuleConfigBehind, p.Name, detail})
 	}
 }
 
-// reached notes the changes that every daemon has now.
-func (o *operators) reached(lowest uint64) {
+// markInForce marks the changes up to version lowest as in force everywhere and records the
+// longest propagation time.
+func (o *operators) markInForce(lowest uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i := range o.accepted {
 		c := &o.accepted[i]
-		if c.everywhere || c.version > lowest {
+		if c.inForce || c.version > lowest {
 			continue
 		}
-		c.everywhere = true
-		o.longest = max(o.longest, time.Since(c.at))
+		c.inForce = true
+		o.maxPropagation = max(o.maxPropagation, time.Since(c.acceptedAt))
 	}
 }
 
-func (o *operators) missing() (version uint64, missing bool) {
+// notInForce returns the first accepted change that is not in force everywhere yet.
+func (o *operators) notInForce() (version uint64, missing bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, c := range o.accepted {
-		if !c.everywhere {
+		if !c.inForce {
 			return c.version, true
 		}
 	}
 	return 0, false
 }
 
-// settle waits until every accepted change is in force on every daemon.
-func (o *operators) settle(ctx context.Context) {
-	limit := time.Now().Add(inForceWithin)
+// awaitInForce waits until every accepted change is in force on every daemon and all daemons
+// answer. Exceeding propagationTimeout is a breach.
+func (o *operators) awaitInForce(ctx context.Context) {
+	deadline := time.Now().Add(propagationTimeout)
 	for ctx.Err() == nil {
-		version, missing := o.missing()
-		if _, all := o.look(ctx); all && !missing {
+		version, missing := o.notInForce()
+		if _, allAnswered := o.pollVersions(ctx); allAnswered && !missing {
 			return
 		}
-		if time.Now().After(limit) {
-			o.breach(RuleConfigLate, "version "+fmt.Sprint(version), "not in force everywhere "+inForceWithin.String()+" after the last change")
+		if time.Now().After(deadline) {
+			o.addBreach(RuleConfigLate, "version "+fmt.Sprint(version), "not in force everywhere "+propagationTimeout.String()+" after the last change")
 			return
 		}
-		pause(ctx, watchEvery)
+		sleep(ctx, pollInterval)
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,8 +1,7 @@
-// Package demo drives a small fleet of real processes on loopback: it submits
-// jobs and single requests through every entry, sends some of them twice, cancels
-// some, kills an agent and restarts it, and then compares what the callers saw
-// with what the targets counted. None of its figures comes from the system's own
-// counters.
+// Package demo tests a small fleet of real processes on loopback from the outside. It submits
+// jobs and single requests through every entry, sends some of them twice, cancels some, kills
+// an agent and restarts it, and then compares what the callers received with the starts that
+// the targets counted. The checks don't rely on the system's own counters.
 package demo
 
 import (
@@ -14,33 +13,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	BinDir   string
 	LogDir   string
-	Duration time.Duration // for which work is submitted
-	Load     float64       // share of the targets' capacity
+	Duration time.Duration // how long jobs are submitted
+	Load     float64       // submitted work as a share of the targets' capacity
 	Seed     uint64
-	Chaos    bool   // disturb entries, agents and targets at random all the time
-	Listen   string // of the first entry; empty: any port
+	Chaos    bool   // inject random failures throughout the run
+	Listen   string // address of the first entry; empty for any free port
 	Out      io.Writer
 }
 
-// What happens in a run, as shares of its duration.
+// Scheduled failures of a run without chaos, and limits of a run. killAtShare and cancelAtShare
+// are shares of the duration.
 const (
-	killAt   = 0.3
-	cancelAt = 0.7
+	killAtShare   = 0.3
+	cancelAtShare = 0.7
 
-	restartAfter = 500 * time.Millisecond
-	cancelWave   = 10
-	lookUps      = 100
-	// settleTime lets starts that are still under way reach their targets before
-	// these are counted.
-	settleTime = 500 * time.Millisecond
+	restartDelay   = 500 * time.Millisecond
+	maxCancelBatch = 10
+	maxLookUps     = 100
+	// settleDelay lets starts that are under way reach their targets before the starts are counted.
+	settleDelay = 500 * time.Millisecond
 )
 
-// entries is how many entries the fleet has. A chaos run takes up to two away
-// at a time, and one is left for callers to ask.
+// entries returns the number of entries of the fleet. A chaos run can stop two of them at a
+// time; a third keeps the fleet reachable for callers.
 func (o Options) entries() int {
 	if o.Chaos {
 		return entryCount + 1
@@ -48,37 +47,38 @@
 	return entryCount
 }
 
-// ErrInvariantBroken says that an invariant did not hold; the breaches were printed.
+// ErrInvariantBroken is returned when an invariant was violated; the breaches have been printed.
 var ErrInvariantBroken = errors.New("an invariant was broken")
 
-// Run starts a fleet, drives it, prints the table and stops everything. The error
-// is ErrInvariantBroken where the run found a breach.
+// Run starts a fleet, submits work to it, checks the invariants, prints the results to o.Out and
+// stops the fleet. It returns ErrInvariantBroken if it found a breach.
 func Run(ctx context.Context, o Options) error {
-	f, err := start(ctx, o)
+	f, err := startDeployment(ctx, o)
 	if err != nil {
 		return err
 	}
-	defer f.fleet.Close() // harmless after the close below
+	defer f.fleet.Close() // has no effect after the Close below
 	run, err := f.drive(ctx, o)
 	if err != nil {
 		return err
 	}
-	verdict, err := run.judge(ctx)
+	result, err := run.verify(ctx)
 	if err != nil {
 		return err
 	}
-	verdict.judgeProcesses(f.fleet.Crashed(), f.fleet.Close())
-	verdict.Breaches = append(verdict.Breaches, run.operators.breaches...)
-	run.print(o.Out, verdict)
-	if len(verdict.Breaches) > 0 {
+	result.checkProcesses(f.fleet.Crashed(), f.fleet.Close())
+	result.Breaches = append(result.Breaches, run.operators.breaches...)
+	run.print(o.Out, result)
+	if len(result.Breaches) > 0 {
 		return ErrInvariantBroken
 	}
 	return nil
 }
 
-// RunIdleFleet starts a fleet and leaves it running until ctx ends.
+// RunIdleFleet starts a fleet, prints its addresses to o.Out, and leaves it running without load
+// until ctx ends.
 func RunIdleFleet(ctx context.Context, o Options) error {
-	f, err := start(ctx, o)
+	f, err := startDeployment(ctx, o)
 	if err != nil {
 		return err
 	}
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -9,23 +9,23 @@
 	"github.com/camphorrack/camphorrack/internal/localfleet"
 )
 
-// deployment is a running fleet.
+// deployment is the running fleet of a demonstration and the log that its entries use.
 type deployment struct {
-	fleet *localfleet.Fleet
-	log   *localfleet.Process
-	addrs []string // of the entries
+	fleet          *localfleet.Fleet
+	logProcess     *localfleet.Process
+	entryAddresses []string // of the entries; an address is kept when its entry is replaced
 
-	mu      sync.Mutex // over the slices: ended processes are replaced in them
+	mu      sync.Mutex // guards the slices: restarted processes are replaced in them
 	entries []*localfleet.Process
 	agents  []*localfleet.Process
 	targets []*localfleet.Process
 }
 
-func start(ctx context.Context, o Options) (*deployment, error) {
+func startDeployment(ctx context.Context, o Options) (*deployment, error) {
 	s := &deployment{fleet: localfleet.New(localfleet.Options{BinDir: o.BinDir, LogDir: o.LogDir, Key: rand.Text()})}
 	err := s.startAll(ctx, o)
 	if err == nil {
-		err = awaitTargets(ctx, s.entryAddrs(), len(speeds))
+		err = awaitTargets(ctx, s.entryAddrs(), len(targetSpeeds))
 	}
 	if err != nil {
 		s.fleet.Close()
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	s.log = log
+	s.logProcess = log
 	for i := range o.entries() {
 		listen, err := localfleet.FreeAddr()
 		if err != nil {
@@ -53,9 +53,9 @@
 			return err
 		}
 		s.entries = append(s.entries, entry)
-		s.addrs = append(s.addrs, entry.Addr)
+		s.entryAddresses = append(s.entryAddresses, entry.Addr)
 	}
-	for i, speed := range speeds {
+	for i, speed := range targetSpeeds {
 		if err := s.startWorker(ctx, i, speed); err != nil {
 			return err
 		}
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// startWorker starts an agent and the target beside it.
+// startWorker starts an agent and the target that announces to it.
 func (s *deployment) startWorker(ctx context.Context, i int, speed float64) error {
 	addr, err := localfleet.FreeAddr()
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	s.agents = append(s.agents, agent)
 	target, err := s.fleet.StartTarget(ctx, localfleet.TargetOptions{
-		Name: fmt.Sprintf("target-%d", i+1), Agent: agent.Addr, Slots: slots, Speed: speed,
+		Name: fmt.Sprintf("target-%d", i+1), Agent: agent.Addr, Slots: slotsPerTarget, Speed: speed,
 	})
 	if err != nil {
 		return err
@@ -88,8 +88,8 @@
 	return s.fleet.StartAgent(ctx, fmt.Sprintf("agent-%d", i+1), listen, s.entryAddrs())
 }
 
-// restartAgent starts a new agent at the ended one's address, where the target
-// beside it still announces itself.
+// restartAgent starts a new agent at the address of the ended one, to which the target still
+// announces itself.
 func (s *deployment) restartAgent(ctx context.Context, i int) error {
 	agent, err := s.startAgent(ctx, i, s.agent(i).Addr)
 	if err != nil {
@@ -101,17 +101,17 @@
 	return nil
 }
 
-// restartEntry starts a new entry at the ended one's address, as an operator does
-// who replaces it.
+// restartEntry starts a new entry at the address of the ended one, as an operator does who
+// replaces an entry.
 func (s *deployment) restartEntry(ctx context.Context, i int) error {
-	former := s.entry(i)
+	previous := s.entry(i)
 	var peers []string
-	for _, addr := range s.addrs {
-		if addr != former.Addr {
+	for _, addr := range s.entryAddresses {
+		if addr != previous.Addr {
 			peers = append(peers, addr)
 		}
 	}
-	entry, err := s.fleet.StartEntry(ctx, former.Name, former.Addr, peers, "-log", s.logURL())
+	entry, err := s.fleet.StartEntry(ctx, previous.Name, previous.Addr, peers, "-log", s.logURL())
 	if err != nil {
 		return err
 	}
@@ -133,19 +133,19 @@
 	return s.agents[i]
 }
 
-// daemons returns the entries and agents that run now.
+// daemons returns the current entries and agents.
 func (s *deployment) daemons() []*localfleet.Process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append(append([]*localfleet.Process(nil), s.entries...), s.agents...)
 }
 
-func (s *deployment) logURL() string { return "http://" + s.log.Addr }
+func (s *deployment) logURL() string { return "http://" + s.logProcess.Addr }
 
-// entryAddrs returns the entries' addresses, which stay when entries are replaced.
-func (s *deployment) entryAddrs() []string { return s.addrs }
+// entryAddrs returns the addresses of the entries, which do not change when entries are replaced.
+func (s *deployment) entryAddrs() []string { return s.entryAddresses }
 
-func addrs(processes []*localfleet.Process) []string {
+func addrsOf(processes []*localfleet.Process) []string {
 	var all []string
 	for _, p := range processes {
 		all = append(all, p.Addr)
--- a/internal/demo/drive.go
+++ b/internal/demo/drive.go
@@ -13,47 +13,48 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
-// run is one pass of work over a deployment, and what was done meanwhile.
+// run is one run of the demonstration: the work submitted to a deployment, the failures injected
+// meanwhile, and their counts.
 type run struct {
 	deployment *deployment
 	callers    *callers
 	operators  *operators
-	// disturbed says of each entry whether it was ended or frozen on purpose.
-	disturbed []atomic.Bool
-
-	perTarget []int        // starts that each target counted
-	counts    owner.Counts // the entries' own, summed
-
-	injections map[string]int // how often each was done
-	killed     string         // name of the agent
-	killedPID  int
-	resubmits  int // calls made while the agent was gone
-	cancelWave int
-	lookUps    int
+	// disrupted is set for each entry that was stopped or frozen on purpose.
+	disrupted []atomic.Bool
+
+	startsPerTarget []int        // starts counted by each target
+	entryCounts     owner.Counts // sum of the entries' own counters
+
+	injections    map[string]int // number of injections by name
+	killedAgent   string         // name of the killed agent
+	killedPID     int
+	resubmissions int // calls repeated after the agent was killed
+	cancelBatch   int // number of jobs cancelled with one call
+	lookUps       int // number of answers fetched again
 }
 
-// drive submits work for the duration, with the failures on the way, and returns
-// when every caller has its answer or gave up.
+// drive submits work for o.Duration while failures are injected. It returns when every caller
+// has an answer or has given up.
 func (s *deployment) drive(ctx context.Context, o Options) (*run, error) {
 	callers, err := newCallers(ctx, s.entryAddrs())
 	if err != nil {
 		return nil, err
 	}
 	defer callers.close()
-	callers.within = s.within
+	callers.withTimeout = s.withRunningTimeout
 	r := &run{
 		deployment: s, callers: callers, operators: newOperators(s),
-		disturbed: make([]atomic.Bool, len(s.entries)), injections: map[string]int{},
+		disrupted: make([]atomic.Bool, len(s.entries)), injections: map[string]int{},
 	}
 	stopOperators := r.operators.start(ctx)
-	script := &steps{}
+	failures := &schedule{}
 	stop := func() error { return nil }
 	if o.Chaos {
-		stop = r.start(ctx, o.Seed)
+		stop = r.startChaos(ctx, o.Seed)
 	} else {
-		script = r.steps(ctx, o.Duration)
+		failures = r.failureSchedule(ctx, o.Duration)
 	}
-	err = r.submitAll(ctx, o, script)
+	err = r.submitAll(ctx, o, failures)
 	err = errors.CombineErrors(err, stop())
 	callers.calls.Wait()
 	stopOperators()
@@ -63,101 +64,102 @@
 	if err != nil {
 		return nil, err
 	}
-	r.lookUpSome(ctx)
+	r.lookUpLatest(ctx)
 	return r, nil
 }
 
-// submitAll submits for the duration and does the script's steps on the way.
-func (r *run) submitAll(ctx context.Context, o Options, script *steps) error {
+// submitAll submits work for o.Duration and runs the steps of the schedule when they are due.
+func (r *run) submitAll(ctx context.Context, o Options, failures *schedule) error {
 	generator := newGenerator(o.Seed, len(r.deployment.entries), capacity(), o.Load)
-	begun := time.Now()
-	for time.Since(begun) < o.Duration && ctx.Err() == nil {
-		if err := script.run(time.Since(begun)); err != nil {
+	startedAt := time.Now()
+	for time.Since(startedAt) < o.Duration && ctx.Err() == nil {
+		if err := failures.runDue(time.Since(startedAt)); err != nil {
 			return err
 		}
-		next := generator.plan()
-		pause(ctx, next.gap)
-		r.callers.place(ctx, next)
+		next := generator.nextPlan()
+		sleep(ctx, next.interArrival)
+		r.callers.submitPlan(ctx, next)
 	}
 	return nil
 }
 
-// step is something that happens once, at a time after the begin.
+// step is an action that runs once, at an offset from the start of the run.
 type step struct {
-	at time.Duration
-	do func() error
+	offset time.Duration
+	action func() error
 }
 
-type steps struct{ left []step }
+type schedule struct{ remaining []step }
 
-// run does what is due.
-func (s *steps) run(elapsed time.Duration) error {
-	for len(s.left) > 0 && elapsed >= s.left[0].at {
-		due := s.left[0]
-		s.left = s.left[1:]
-		if err := due.do(); err != nil {
+// runDue runs the steps that are due after the elapsed time.
+func (s *schedule) runDue(elapsed time.Duration) error {
+	for len(s.remaining) > 0 && elapsed >= s.remaining[0].offset {
+		due := s.remaining[0]
+		s.remaining = s.remaining[1:]
+		if err := due.action(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// steps lists the failures of a run. The slowest agent but one is killed, so that
-// the fast targets, which set the ideal, stay.
-func (r *run) steps(ctx context.Context, d time.Duration) *steps {
-	kill := time.Duration(killAt * float64(d))
+// failureSchedule returns the scheduled failures of a run without chaos. It kills the last agent,
+// whose target is slow, so that the fast targets, on which the ideal response time is based,
+// stay available.
+func (r *run) failureSchedule(ctx context.Context, d time.Duration) *schedule {
+	killTime := time.Duration(killAtShare * float64(d))
 	victim := len(r.deployment.agents) - 1
-	return &steps{left: []step{
-		{kill, func() error { r.kill(ctx, victim); return nil }},
-		{kill + restartAfter, func() error { return r.deployment.restartAgent(ctx, victim) }},
-		{time.Duration(cancelAt * float64(d)), func() error { r.cancelSome(ctx); return nil }},
+	return &schedule{remaining: []step{
+		{killTime, func() error { r.killAgent(ctx, victim); return nil }},
+		{killTime + restartDelay, func() error { return r.deployment.restartAgent(ctx, victim) }},
+		{time.Duration(cancelAtShare * float64(d)), func() error { r.cancelPending(ctx); return nil }},
 	}}
 }
 
-// kill ends an agent at once; every caller that still waits takes its job for
-// lost and submits it again through another entry.
-func (r *run) kill(ctx context.Context, victim int) {
+// killAgent kills an agent. Every caller that still waits then assumes that its job is lost and
+// submits it again through another entry.
+func (r *run) killAgent(ctx context.Context, victim int) {
 	agent := r.deployment.agents[victim]
-	r.killed, r.killedPID = agent.Name, agent.PID()
+	r.killedAgent, r.killedPID = agent.Name, agent.PID()
 	agent.Kill()
-	for _, o := range r.callers.history.pending() {
-		r.resubmits++
-		r.callers.again(ctx, o)
+	for _, submission := range r.callers.history.pending() {
+		r.resubmissions++
+		r.callers.resubmit(ctx, submission)
 	}
 }
 
-func (r *run) cancelSome(ctx context.Context) {
-	wave := r.callers.history.pending()
-	wave = wave[:min(len(wave), cancelWave)]
-	r.cancelWave = len(wave)
-	r.callers.calls.Go(func() { r.callers.cancel(ctx, 0, wave) })
+func (r *run) cancelPending(ctx context.Context) {
+	batch := r.callers.history.pending()
+	batch = batch[:min(len(batch), maxCancelBatch)]
+	r.cancelBatch = len(batch)
+	r.callers.calls.Go(func() { r.callers.cancel(ctx, 0, batch) })
 }
 
-// lookUpSome asks again, through the other entry, for the answers given last.
-func (r *run) lookUpSome(ctx context.Context) {
+// lookUpLatest fetches the most recent answers again, through another entry.
+func (r *run) lookUpLatest(ctx context.Context) {
 	all := r.callers.history.list()
-	for _, o := range all[max(0, len(all)-lookUps):] {
+	for _, submission := range all[max(0, len(all)-maxLookUps):] {
 		r.lookUps++
-		r.callers.lookUp(ctx, o, r.callers.other(o.plan.entry))
+		r.callers.lookUp(ctx, submission, r.callers.otherEntry(submission.plan.entry))
 	}
 }
 
-// judge counts at the targets and compares.
-func (r *run) judge(ctx context.Context) (*Result, error) {
-	pause(ctx, settleTime)
-	counted, perTarget, err := countStarts(ctx, addrs(r.deployment.targets))
+// verify fetches the start counts of the targets and compares them with what callers received.
+func (r *run) verify(ctx context.Context) (*Result, error) {
+	sleep(ctx, settleDelay)
+	counted, perTarget, err := countStarts(ctx, addrsOf(r.deployment.targets))
 	if err != nil {
 		return nil, err
 	}
-	r.perTarget = perTarget
-	if r.counts, err = sumCounts(ctx, r.deployment.entryAddrs()); err != nil {
+	r.startsPerTarget = perTarget
+	if r.entryCounts, err = sumCounts(ctx, r.deployment.entryAddrs()); err != nil {
 		return nil, err
 	}
-	return judge(r.callers.history.list(), counted, fastest(), func(owner int) bool { return r.disturbed[owner].Load() }), nil
+	return verify(r.callers.history.list(), counted, fastestSpeed(), func(owner int) bool { return r.disrupted[owner].Load() }), nil
 }
 
-// sumCounts adds up the entries' own counters, which are shown beside the figures
-// and judge nothing.
+// sumCounts returns the sum of the entries' own counters. They are only displayed; no check uses
+// them.
 func sumCounts(ctx context.Context, entries []string) (owner.Counts, error) {
 	var sum owner.Counts
 	for _, entry := range entries {
@@ -181,16 +183,16 @@
 	return sum, nil
 }
 
-func (v *Result) judgeProcesses(crashed, unclean []*localfleet.Process) {
+func (r *Result) checkProcesses(crashed, unclean []*localfleet.Process) {
 	for _, p := range crashed {
-		v.breach(RuleProcessExit, p.Name, "ended by itself; its last log lines: %q", p.LogTail())
+		r.addBreach(RuleProcessExit, p.Name, "ended by itself; its last log lines: %q", p.LogTail())
 	}
 	for _, p := range unclean {
-		v.breach(RuleProcessExit, p.Name, "did not end gracefully after SIGTERM; its last log lines: %q", p.LogTail())
+		r.addBreach(RuleProcessExit, p.Name, "did not end gracefully after SIGTERM; its last log lines: %q", p.LogTail())
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/demo/history.go
+++ b/internal/demo/history.go
@@ -8,74 +8,75 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// outcome is what one call for a submission came back with.
-type outcome struct {
-	entry    int // through which the call went first
-	answer   *job.Answer
-	err      error // set where no final answer came
-	at       time.Time
-	response time.Duration
+// callOutcome is the outcome of one call for a submission.
+type callOutcome struct {
+	entry        int // index of the entry that was called first
+	answer       *job.Answer
+	err          error // set if there was no final answer
+	receivedAt   time.Time
+	responseTime time.Duration
 }
 
-// observed is one submission and everything its callers saw of it.
-type observed struct {
+// trackedSubmission is a submission and the outcomes of all calls for it.
+type trackedSubmission struct {
 	plan *plan
 	id   string
 
-	mu       sync.Mutex
-	first    bool // whether the first caller's answer is there
-	outcomes []outcome
+	mu             sync.Mutex
+	firstCallEnded bool // the first call has ended, with or without an answer
+	outcomes       []callOutcome
 }
 
-func (o *observed) see(s outcome) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.outcomes = append(o.outcomes, s)
+func (s *trackedSubmission) record(outcome callOutcome) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.outcomes = append(s.outcomes, outcome)
 }
 
-// inOrder returns the outcomes by the time at which they came.
-func (o *observed) inOrder() []outcome {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return slices.SortedStableFunc(slices.Values(o.outcomes), func(a, b outcome) int { return a.at.Compare(b.at) })
+// outcomesByTime returns the outcomes in the order in which they were received.
+func (s *trackedSubmission) outcomesByTime() []callOutcome {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.SortedStableFunc(slices.Values(s.outcomes), func(a, b callOutcome) int { return a.receivedAt.Compare(b.receivedAt) })
 }
 
-func (o *observed) finish() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.first = true
+func (s *trackedSubmission) markFirstCallEnded() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.firstCallEnded = true
 }
 
-func (o *observed) pending() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return !o.first
+// pending reports whether the first call has not ended.
+func (s *trackedSubmission) pending() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.firstCallEnded
 }
 
-// history is all submissions of a run.
+// history holds all submissions of a run.
 type history struct {
-	mu  sync.Mutex
-	all []*observed
+	mu          sync.Mutex
+	submissions []*trackedSubmission
 }
 
-func (b *history) add(o *observed) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.all = append(b.all, o)
+func (h *history) add(s *trackedSubmission) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.submissions = append(h.submissions, s)
 }
 
-func (b *history) list() []*observed {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]*observed(nil), b.all...)
+func (h *history) list() []*trackedSubmission {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]*trackedSubmission(nil), h.submissions...)
 }
 
-// pending returns the submissions whose first caller still waits.
-func (b *history) pending() []*observed {
-	var open []*observed
-	for _, o := range b.list() {
-		if o.pending() {
-			open = append(open, o)
+// pending returns the submissions whose first call has not ended.
+func (h *history) pending() []*trackedSubmission {
+	var open []*trackedSubmission
+	for _, s := range h.list() {
+		if s.pending() {
+			open = append(open, s)
 		}
 	}
 	return open
--- a/internal/demo/overlap_test.go
+++ b/internal/demo/overlap_test.go
@@ -14,30 +14,30 @@
 	"github.com/camphorrack/camphorrack/internal/localfleet"
 )
 
-var _ = Describe("the watch over one daemon", func() {
-	// Guards against a daemon being said to go back when two looks overlap and the answer to
-	// the earlier one is read last.
-	It("judges an answer by what was seen before it was asked for", func(ctx context.Context) {
-		var asked atomic.Int32
-		first, second := make(chan struct{}), make(chan struct{})
+var _ = Describe("polling one daemon", func() {
+	// Guards against reporting a reverted version when two polls of a daemon overlap and the answer
+	// to the earlier one is read last.
+	It("compares an answer with the versions received before the query was sent", func(ctx context.Context) {
+		var queries atomic.Int32
+		firstReceived, secondAnswered := make(chan struct{}), make(chan struct{})
 		daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			version := 23
-			if asked.Add(1) == 1 {
+			if queries.Add(1) == 1 {
 				version = 21
-				close(first)
-				<-second
+				close(firstReceived)
+				<-secondAnswered
 			}
 			fmt.Fprintf(w, `{"state":{"version":%d}}`, version)
 		}))
 		defer daemon.Close()
 		p := &localfleet.Process{Name: "agent-4", Addr: strings.TrimPrefix(daemon.URL, "http://")}
-		o := &operators{seen: map[*localfleet.Process]uint64{}, inForce: map[string]uint64{}}
-		late := make(chan *uint64)
-		go func() { late <- o.versionOf(ctx, p) }()
-		<-first
-		Expect(o.versionOf(ctx, p)).To(HaveValue(BeEquivalentTo(23)))
-		close(second)
-		Expect(<-late).To(HaveValue(BeEquivalentTo(21)))
+		o := &operators{highestSeen: map[*localfleet.Process]uint64{}, highestByName: map[string]uint64{}}
+		earlierPoll := make(chan *uint64)
+		go func() { earlierPoll <- o.pollVersion(ctx, p) }()
+		<-firstReceived
+		Expect(o.pollVersion(ctx, p)).To(HaveValue(BeEquivalentTo(23)))
+		close(secondAnswered)
+		Expect(<-earlierPoll).To(HaveValue(BeEquivalentTo(21)))
 		Expect(o.breaches).To(BeEmpty())
 	})
 })
--- a/internal/demo/path_test.go
+++ b/internal/demo/path_test.go
@@ -15,20 +15,20 @@
 	"github.com/camphorrack/camphorrack/internal/standin/target"
 )
 
-// inProcess is a fleet of the real daemons inside this process, on loopback.
-type inProcess struct {
+// inProcessFleet is a fleet whose real daemons run inside the test process, on loopback.
+type inProcessFleet struct {
 	entries, agents []*daemon
 	targets         []string // addresses
 }
 
-// daemon is one running daemon; stop works once.
+// daemon is a running daemon. Only the first call of stop has an effect.
 type daemon struct {
 	addr string
 	stop func(context.Context) error
 }
 
-// newDaemon returns a daemon that is stopped at the end of the test at the latest,
-// then without waiting for what a failed test may have left behind.
+// newDaemon returns a daemon that is stopped at the latest when the test ends. That stop does
+// not wait for work in progress, which a failed test may have left behind.
 func newDaemon(addr string, stop func(context.Context) error) *daemon {
 	var once sync.Once
 	d := &daemon{addr: addr, stop: func(ctx context.Context) (err error) {
@@ -43,8 +43,8 @@
 	return d
 }
 
-func newInProcess(workers int) *inProcess {
-	f := &inProcess{}
+func newInProcessFleet(workers int) *inProcessFleet {
+	f := &inProcessFleet{}
 	for range entryCount {
 		f.addEntry()
 	}
@@ -54,26 +54,26 @@
 	return f
 }
 
-func (f *inProcess) addEntry() {
-	set := entry.Options{
+func (f *inProcessFleet) addEntry() {
+	options := entry.Options{
 		Listen: anyPort, Entries: strings.Join(f.entryAddrs(), ","), Key: "0123456789abcdef",
-		MaxTimeout: usualDeadline * 2, MaxJobs: 1000, Policy: "least-work",
+		MaxTimeout: defaultDeadline * 2, MaxJobs: 1000, Policy: "least-work",
 	}
-	e, err := entry.New(set, logr.Discard())
+	e, err := entry.New(options, logr.Discard())
 	Expect(err).NotTo(HaveOccurred())
 	e.Start()
 	f.entries = append(f.entries, newDaemon(e.Addr(), e.Stop))
 }
 
-func (f *inProcess) addWorker(i int) {
+func (f *inProcessFleet) addWorker(i int) {
 	a, err := agent.New(agent.Options{
 		Listen: anyPort, Worker: fmt.Sprintf("worker-%d", i), Entries: strings.Join(f.entryAddrs(), ","),
-		MaxEntries: 8, Policy: "grants", DrainTimeout: usualDeadline,
+		MaxEntries: 8, Policy: "grants", DrainTimeout: defaultDeadline,
 	}, logr.Discard())
 	Expect(err).NotTo(HaveOccurred())
 	a.Start()
 	t, err := target.New(target.Options{
-		Listen: anyPort, Agent: a.Addr(), Name: fmt.Sprintf("target-%d", i), Slots: slots, Speed: 2, Connections: 64,
+		Listen: anyPort, Agent: a.Addr(), Name: fmt.Sprintf("target-%d", i), Slots: slotsPerTarget, Speed: 2, Connections: 64,
 		CPUMilli: 1000, MemoryMB: 1000,
 	}, logr.Discard())
 	Expect(err).NotTo(HaveOccurred())
@@ -83,7 +83,7 @@
 	f.targets = append(f.targets, t.Addr())
 }
 
-func (f *inProcess) entryAddrs() []string {
+func (f *inProcessFleet) entryAddrs() []string {
 	var all []string
 	for _, e := range f.entries {
 		all = append(all, e.addr)
@@ -93,12 +93,12 @@
 
 const anyPort = "127.0.0.1:0"
 
-var _ = Describe("the whole path", func() {
-	// An operator replaces an agent and an entry in the middle of the day. Work
-	// that they had accepted must end as if nothing had happened: a job that was
-	// cut off would bill its finished tasks again when its caller starts it anew.
-	It("completes every job in progress when an agent and an entry leave", func(ctx context.Context) {
-		f := newInProcess(3)
+var _ = Describe("a fleet with real daemons in one process", func() {
+	// Guards against losing accepted work when an operator replaces an agent and an entry under
+	// load. A caller would submit an interrupted job again, and its finished tasks would be billed
+	// twice.
+	It("completes every job in progress when an agent and an entry drain", func(ctx context.Context) {
+		f := newInProcessFleet(3)
 		Expect(awaitTargets(ctx, f.entryAddrs(), 3)).To(Succeed())
 		callers, err := newCallers(ctx, f.entryAddrs())
 		Expect(err).NotTo(HaveOccurred())
@@ -106,28 +106,28 @@
 
 		generator := newGenerator(1, entryCount, capacity(), 1)
 		for range 30 {
-			next := generator.plan()
-			next.deadline, next.cancelled = usualDeadline, false
-			callers.place(ctx, next)
+			next := generator.nextPlan()
+			next.deadline, next.cancelled = defaultDeadline, false
+			callers.submitPlan(ctx, next)
 		}
 		Eventually(func() uint64 {
 			counts, err := sumCounts(ctx, f.entryAddrs())
 			Expect(err).NotTo(HaveOccurred())
 			return counts.Accepted
-		}).WithTimeout(usualDeadline).Should(BeNumerically("==", 30))
+		}).WithTimeout(defaultDeadline).Should(BeNumerically("==", 30))
 		var agentErr, entryErr error
-		var leaving sync.WaitGroup
-		leaving.Go(func() { agentErr = f.agents[0].stop(ctx) })
-		leaving.Go(func() { entryErr = f.entries[1].stop(ctx) })
+		var draining sync.WaitGroup
+		draining.Go(func() { agentErr = f.agents[0].stop(ctx) })
+		draining.Go(func() { entryErr = f.entries[1].stop(ctx) })
 		callers.calls.Wait()
-		leaving.Wait()
+		draining.Wait()
 		Expect(agentErr).NotTo(HaveOccurred())
 		Expect(entryErr).NotTo(HaveOccurred())
 
 		counted, _, err := countStarts(ctx, f.targets)
 		Expect(err).NotTo(HaveOccurred())
-		verdict := judge(callers.history.list(), counted, 2, never)
-		Expect(verdict.Breaches).To(BeEmpty())
-		Expect(verdict.Complete).To(Equal(30), "%s", verdict.SummaryLine())
+		result := verify(callers.history.list(), counted, 2, never)
+		Expect(result.Breaches).To(BeEmpty())
+		Expect(result.Complete).To(Equal(30), "%s", result.SummaryLine())
 	})
 })
--- a/internal/demo/standstill.go
+++ b/internal/demo/standstill.go
@@ -8,62 +8,62 @@
 	"github.com/camphorrack/camphorrack/internal/localfleet"
 )
 
-// Standstills of many processes at once, as a machine under them gives that has no
-// processor for them: of all of them, from well below to well above the silence that ends
-// a session, or of half of them in rows so short that none of them is told by itself.
+// Simultaneous pauses of many processes, as on a host that gives them no processor time. Either
+// all processes pause once, from well below to well above the silence timeout of a session, or
+// random halves of them pause several times in a row, each pause too short to be detected alone.
 const (
-	minMoving   = time.Second
-	maxMoving   = 5 * time.Second
-	minStanding = 500 * time.Millisecond
-	maxStanding = 4 * time.Second
+	minPauseAllGap = time.Second
+	maxPauseAllGap = 5 * time.Second
+	minPauseAll    = 500 * time.Millisecond
+	maxPauseAll    = 4 * time.Second
 
-	minRow      = 2
-	maxRow      = 6
-	minRowStand = 100 * time.Millisecond
-	maxRowStand = 350 * time.Millisecond
-	rowMoving   = 20 * time.Millisecond
+	minShortPauses = 2
+	maxShortPauses = 6
+	minShortPause  = 100 * time.Millisecond
+	maxShortPause  = 350 * time.Millisecond
+	shortPauseGap  = 20 * time.Millisecond
 )
 
-// standstills injects them until the context ends. Which processes stand still, when and
-// for how long is drawn from random alone.
-func (c *chaos) standstills(until context.Context, random *rand.Rand) {
+// pauseLoop injects pauses until the context ends. Which processes pause, when and for how long
+// is drawn only from random.
+func (c *chaos) pauseLoop(until context.Context, random *rand.Rand) {
 	for until.Err() == nil {
-		pause(until, between(random, minMoving, maxMoving))
+		sleep(until, randomDuration(random, minPauseAllGap, maxPauseAllGap))
 		if random.IntN(2) == 0 {
-			c.standAll(between(random, minStanding, maxStanding))
-			c.counted("all stood still")
+			c.pauseAll(randomDuration(random, minPauseAll, maxPauseAll))
+			c.countInjection("all stood still")
 			continue
 		}
-		for range minRow + random.IntN(maxRow-minRow+1) {
-			c.standHalf(random)
-			pause(c.ctx, rowMoving)
+		for range minShortPauses + random.IntN(maxShortPauses-minShortPauses+1) {
+			c.pauseHalf(random)
+			sleep(c.ctx, shortPauseGap)
 		}
-		c.counted("half stood still in a row")
+		c.countInjection("half stood still in a row")
 	}
 }
 
-func (c *chaos) standAll(standing time.Duration) {
+func (c *chaos) pauseAll(duration time.Duration) {
 	resume := c.run.deployment.fleet.PauseAll()
-	pause(c.ctx, standing)
+	sleep(c.ctx, duration)
 	resume()
 }
 
-func (c *chaos) standHalf(random *rand.Rand) {
-	running := c.run.deployment.running()
-	random.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
-	half := running[:len(running)/2]
-	standing := between(random, minRowStand, maxRowStand)
+func (c *chaos) pauseHalf(random *rand.Rand) {
+	processes := c.run.deployment.runningProcesses()
+	random.Shuffle(len(processes), func(i, j int) { processes[i], processes[j] = processes[j], processes[i] })
+	half := processes[:len(processes)/2]
+	duration := randomDuration(random, minShortPause, maxShortPause)
 	for _, p := range half {
 		p.Pause()
 	}
-	pause(c.ctx, standing)
+	sleep(c.ctx, duration)
 	for _, p := range half {
 		p.Resume()
 	}
 }
 
-// running returns the processes that have not ended.
-func (s *deployment) running() []*localfleet.Process {
+// runningProcesses returns the processes of the fleet that have not exited.
+func (s *deployment) runningProcesses() []*localfleet.Process {
 	var all []*localfleet.Process
 	for _, p := range s.fleet.Processes() {
 		if !p.Exited() {
@@ -73,9 +73,9 @@
 	return all
 }
 
-// within returns a context that ends after so much time in which the fleet was not paused
-// as a whole.
-func (s *deployment) within(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+// withRunningTimeout returns a context that ends with DeadlineExceeded as its cause after limit,
+// not counting the time in which the whole fleet was paused.
+func (s *deployment) withRunningTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := s.fleet.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() {
--- a/internal/demo/targetcounts.go
+++ b/internal/demo/targetcounts.go
@@ -10,16 +10,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// countTimeout bounds one question to a target.
-const countTimeout = 2 * time.Second
+// startsTimeout limits a request for the starts of one target.
+const startsTimeout = 2 * time.Second
 
-// starts counts, by "job id/task index", how often targets began a task. It is
-// what the targets themselves counted.
-type starts map[string]int
+// startCounts holds the number of starts by "job id/task index", as counted by the targets.
+type startCounts map[string]int
 
 func taskKey(id string, task int) string { return id + "/" + strconv.Itoa(task) }
 
-func (s starts) total() int {
+func (s startCounts) total() int {
 	n := 0
 	for _, count := range s {
 		n += count
@@ -27,13 +26,12 @@
 	return n
 }
 
-// countStarts asks every target and returns all counts together, and how many
-// starts each target counted.
-func countStarts(ctx context.Context, targets []string) (starts, []int, error) {
-	all := starts{}
+// countStarts returns the sum of the start counts of all targets, and the total of each target.
+func countStarts(ctx context.Context, targets []string) (startCounts, []int, error) {
+	all := startCounts{}
 	var perTarget []int
 	for _, addr := range targets {
-		one, err := startsOf(ctx, addr)
+		one, err := fetchStarts(ctx, addr)
 		if err != nil {
 			return nil, nil, errors.Wrapf(err, "starts of target %s", addr)
 		}
@@ -45,8 +43,8 @@
 	return all, perTarget, nil
 }
 
-func startsOf(ctx context.Context, addr string) (starts, error) {
-	ctx, cancel := context.WithTimeout(ctx, countTimeout)
+func fetchStarts(ctx context.Context, addr string) (startCounts, error) {
+	ctx, cancel := context.WithTimeout(ctx, startsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/starts", nil)
 	if err != nil {
@@ -58,7 +56,7 @@
 	}
 	defer response.Body.Close()
 	var body struct {
-		Counts starts `json:"counts"`
+		Counts startCounts `json:"counts"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
 		return nil, errors.WithStack(err)
--- a/internal/demo/verdict.go
+++ b/internal/demo/verdict.go
@@ -12,20 +12,21 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
-// Rule names an invariant that the demonstration checks.
+// Rule identifies an invariant that a run checks.
 type Rule string
 
-// The rules. Each is checked from what targets and callers saw.
+// Each rule is checked against the answers that callers received, the starts that targets counted,
+// or the processes' state.
 const (
 	RuleStartedTwice    Rule = "started_twice" // a task that may run at most once was started twice
 	RuleOneAnswer       Rule = "one_answer"    // two callers got different answers to one id
-	RuleCompleteResults Rule = "whole"         // a complete answer lacks results, or has another task's
-	RuleAnswered        Rule = "answered"      // no answer by the deadline and its allowance
-	RuleNotRun          Rule = "not_run"       // an answer said "not run" of a task that was started
-	RuleCompleteRan     Rule = "complete_ran"  // a complete answer of a task that no target started
-	RuleOneWinner       Rule = "one_winner"    // two changes of the configuration on one base were both accepted
-	RuleConfigLate      Rule = "config_late"   // an accepted change is not in force everywhere in time
-	// RuleConfigReverts is broken by a process whose configuration goes back.
+	RuleCompleteResults Rule = "whole"         // a complete answer lacks results or has those of another task
+	RuleAnswered        Rule = "answered"      // no answer by the deadline plus answerGrace
+	RuleNotRun          Rule = "not_run"       // an answer says that the job was not run, but a task was started
+	RuleCompleteRan     Rule = "complete_ran"  // a complete answer for a task that no target started
+	RuleOneWinner       Rule = "one_winner"    // two configuration changes on one base were both accepted
+	RuleConfigLate      Rule = "config_late"   // an accepted change was not in force everywhere within propagationTimeout
+	// RuleConfigReverts is broken by a process that reverts to an older configuration.
 	RuleConfigReverts Rule = "config_reverts"
 	// RuleConfigBehind is broken by a restarted process that enforces an older
 	// configuration than its predecessor did.
@@ -33,188 +34,190 @@
 	RuleProcessExit  Rule = "processes" // a process crashed or had to be killed
 )
 
-// Breach is one broken rule.
+// Breach is a violation of a rule. Subject is a job id, the name of a process, or a configuration
+// version.
 type Breach struct {
 	Rule    Rule
 	Subject string
 	Detail  string
 }
 
-// Result is the outcome of a run.
+// Result holds the counts and breaches of a run.
 type Result struct {
 	Jobs, Complete, Failed, Refused, Unanswered int
-	// StartedTwice counts tasks that may run at most once and were started again.
+	// StartedTwice counts tasks that may run at most once but were started more often.
 	StartedTwice int
-	// P50 and P99 are of the response over the ideal, over complete answers.
+	// P50 and P99 are quantiles of responseRatio over the complete answers.
 	P50, P99 float64
-	// Starts counts starts at targets; UsedStarts those whose result was part of a
-	// complete answer.
+	// Starts counts starts at targets; UsedStarts counts those whose result was part of a complete
+	// answer.
 	Starts, UsedStarts int
-	// CancelledStarts counts starts of jobs that their callers cancelled: part of the
-	// wasted starts that no dispatcher could have avoided.
+	// CancelledStarts counts starts of jobs that their callers cancelled. They are wasted, but no
+	// dispatcher could have avoided them.
 	CancelledStarts int
-	// UnknownAfterAnswer counts callers who learned "outcome unknown" after another got the
-	// answer of an owner that was ended or frozen since.
+	// UnknownAfterAnswer counts answers that differ from the first one only because their owner was
+	// stopped or frozen: mostly "outcome unknown" after another caller got the answer.
 	UnknownAfterAnswer int
 	// Failures counts failed and refused jobs by the name of their fault.
 	Failures map[string]int
 	Breaches []Breach
 }
 
-// WastedPercent is the share of starts that were never part of a complete answer, in percent.
-func (v *Result) WastedPercent() float64 {
-	if v.Starts == 0 {
+// WastedPercent returns the percentage of starts whose result was not part of a complete answer.
+func (r *Result) WastedPercent() float64 {
+	if r.Starts == 0 {
 		return 0
 	}
-	return 100 * float64(v.Starts-v.UsedStarts) / float64(v.Starts)
+	return 100 * float64(r.Starts-r.UsedStarts) / float64(r.Starts)
 }
 
-// SummaryLine is the line that a run ends with.
-func (v *Result) SummaryLine() string {
+// SummaryLine returns the last line of the output of a run.
+func (r *Result) SummaryLine() string {
 	return fmt.Sprintf("jobs=%d complete=%d failed=%d refused=%d unanswered=%d started_twice=%d p50_ratio=%.2f p99_ratio=%.2f wasted=%.2f%%",
-		v.Jobs, v.Complete, v.Failed, v.Refused, v.Unanswered, v.StartedTwice, v.P50, v.P99, v.WastedPercent())
+		r.Jobs, r.Complete, r.Failed, r.Refused, r.Unanswered, r.StartedTwice, r.P50, r.P99, r.WastedPercent())
 }
 
-func (v *Result) breach(rule Rule, id, format string, args ...any) {
-	v.Breaches = append(v.Breaches, Breach{Rule: rule, Subject: id, Detail: fmt.Sprintf(format, args...)})
+func (r *Result) addBreach(rule Rule, subject, format string, args ...any) {
+	r.Breaches = append(r.Breaches, Breach{Rule: rule, Subject: subject, Detail: fmt.Sprintf(format, args...)})
 }
 
-// judge compares what callers saw with what targets counted. fastest is the speed
-// of the fastest target.
-// Of an entry that was disturbed, "outcome unknown" may follow its own answer.
-func judge(all []*observed, counted starts, fastest float64, disturbed func(owner int) bool) *Result {
-	v := &Result{Jobs: len(all), Starts: counted.total(), Failures: map[string]int{}}
+// verify checks what callers received against the starts that targets counted. fastest is the
+// speed of the fastest target. disrupted reports whether an entry was stopped or frozen during
+// the run; for its jobs, an answer "outcome unknown" may follow another answer.
+func verify(all []*trackedSubmission, counted startCounts, fastest float64, disrupted func(owner int) bool) *Result {
+	r := &Result{Jobs: len(all), Starts: counted.total(), Failures: map[string]int{}}
 	var ratios []float64
-	for _, o := range all {
-		v.judgeStarts(o, counted)
-		answer := v.judgeAnswers(o, disturbed(o.plan.owner))
+	for _, s := range all {
+		r.checkStarts(s, counted)
+		answer := r.checkAnswers(s, disrupted(s.plan.tokenEntry))
 		if answer == nil {
-			v.Unanswered++
+			r.Unanswered++
 			continue
 		}
-		v.count(answer)
-		v.judgeAgainstStarts(o, answer, counted)
+		r.countAnswer(answer)
+		r.checkAgainstStarts(s, answer, counted)
 		if answer.State == job.Complete {
-			ratios = append(ratios, ratio(o, fastest))
+			ratios = append(ratios, responseRatio(s, fastest))
 		}
 	}
-	v.P50, v.P99 = quantile(ratios, 0.5), quantile(ratios, 0.99)
-	return v
+	r.P50, r.P99 = quantile(ratios, 0.5), quantile(ratios, 0.99)
+	return r
 }
 
-func (v *Result) count(a *job.Answer) {
+func (r *Result) countAnswer(a *job.Answer) {
 	switch a.State {
 	case job.Complete:
-		v.Complete++
+		r.Complete++
 	case job.Refused:
-		v.Refused++
+		r.Refused++
 	default:
-		v.Failed++
+		r.Failed++
 	}
 	if a.Failure != nil {
-		v.Failures[a.Failure.Name]++
+		r.Failures[a.Failure.Name]++
 	}
 }
 
-func (v *Result) judgeStarts(o *observed, counted starts) {
-	if o.plan.submission.Idempotent {
+func (r *Result) checkStarts(s *trackedSubmission, counted startCounts) {
+	if s.plan.submission.Idempotent {
 		return // may run again where its outcome is unknown
 	}
-	for i := range o.plan.submission.Tasks {
-		if n := counted[taskKey(o.id, i)]; n > 1 {
-			v.StartedTwice++
-			v.breach(RuleStartedTwice, o.id, "task %d was started %d times", i, n)
+	for i := range s.plan.submission.Tasks {
+		if n := counted[taskKey(s.id, i)]; n > 1 {
+			r.StartedTwice++
+			r.addBreach(RuleStartedTwice, s.id, "task %d was started %d times", i, n)
 		}
 	}
 }
 
-// judgeAnswers returns the one answer, or nil where a caller got none.
-func (v *Result) judgeAnswers(o *observed, disturbed bool) *job.Answer {
-	outcomes := o.inOrder()
+// checkAnswers checks that all callers of a submission got the same answer. It returns that
+// answer, or nil if a caller got none.
+func (r *Result) checkAnswers(s *trackedSubmission, disrupted bool) *job.Answer {
+	outcomes := s.outcomesByTime()
 	var first *job.Answer
-	for _, s := range outcomes {
-		if expired(s) {
+	for _, outcome := range outcomes {
+		if isExpired(outcome) {
 			continue
 		}
-		if s.answer == nil {
-			v.breach(RuleAnswered, o.id, "through entry %d: %v", s.entry+1, s.err)
+		if outcome.answer == nil {
+			r.addBreach(RuleAnswered, s.id, "through entry %d: %v", outcome.entry+1, outcome.err)
 			return nil
 		}
 		if first == nil {
-			first = s.answer
+			first = outcome.answer
 		}
-		if disturbed && follows(first, s.answer) {
-			v.UnknownAfterAnswer++
+		if disrupted && allowedAfterOwnerLoss(first, outcome.answer) {
+			r.UnknownAfterAnswer++
 			continue
 		}
-		if !same(first, s.answer) {
-			v.breach(RuleOneAnswer, o.id, "%s and, through entry %d, %s", describe(first), s.entry+1, describe(s.answer))
+		if !sameAnswer(first, outcome.answer) {
+			r.addBreach(RuleOneAnswer, s.id, "%s and, through entry %d, %s", describeAnswer(first), outcome.entry+1, describeAnswer(outcome.answer))
 		}
 	}
 	if first == nil {
-		v.breach(RuleAnswered, o.id, "no caller got an answer")
+		r.addBreach(RuleAnswered, s.id, "no caller got an answer")
 	}
 	return first
 }
 
-// follows reports whether two different answers go together although they differ:
-// the owner answered one caller and then was lost, so that later ones learn that
-// the outcome is unknown; or one learned that first, and the owner that came back
-// said how the job failed. A complete answer never follows an unknown outcome.
-func follows(first, later *job.Answer) bool {
-	if same(first, later) {
+// allowedAfterOwnerLoss reports whether two different answers are consistent if the owner was
+// lost: the owner answered one caller and was then lost, so that later callers get "outcome
+// unknown"; or a caller got that first, and the restored owner reported how the job failed. A
+// complete answer must never follow an unknown outcome.
+func allowedAfterOwnerLoss(first, later *job.Answer) bool {
+	if sameAnswer(first, later) {
 		return false
 	}
-	return unknown(later) || unknown(first) && later.State == job.Failed
+	return isOutcomeUnknown(later) || isOutcomeUnknown(first) && later.State == job.Failed
 }
 
-func unknown(a *job.Answer) bool {
+func isOutcomeUnknown(a *job.Answer) bool {
 	return a.Failure != nil && (a.Failure.Code == fault.OwnerGone || a.Failure.Code == fault.OutcomeUnknown)
 }
 
-// expired reports whether a call came so late that the answer is no longer held.
-// It contradicts no answer; but one caller must have got that answer.
-func expired(s outcome) bool {
-	return s.answer == nil && errors.Is(s.err, &fault.Fault{Code: fault.AnswerExpired})
+// isExpired reports whether a call came so late that the answer was no longer retained. That
+// contradicts no answer, but at least one caller must have received it.
+func isExpired(outcome callOutcome) bool {
+	return outcome.answer == nil && errors.Is(outcome.err, &fault.Fault{Code: fault.AnswerExpired})
 }
 
-func (v *Result) judgeAgainstStarts(o *observed, a *job.Answer, counted starts) {
+func (r *Result) checkAgainstStarts(s *trackedSubmission, a *job.Answer, counted startCounts) {
 	if a.State == job.Complete {
-		v.judgeComplete(o, a, counted)
+		r.checkComplete(s, a, counted)
 		return
 	}
 	cancelled := a.Failure != nil && a.Failure.Code == fault.Cancelled
-	for i := range o.plan.submission.Tasks {
-		n := counted[taskKey(o.id, i)]
+	for i := range s.plan.submission.Tasks {
+		n := counted[taskKey(s.id, i)]
 		if cancelled {
-			v.CancelledStarts += n
+			r.CancelledStarts += n
 		}
 		if n > 0 && a.Failure != nil && a.Failure.NotRun {
-			v.breach(RuleNotRun, o.id, "%s, and task %d was started %d times", describe(a), i, n)
+			r.addBreach(RuleNotRun, s.id, "%s, and task %d was started %d times", describeAnswer(a), i, n)
 		}
 	}
 }
 
-func (v *Result) judgeComplete(o *observed, a *job.Answer, counted starts) {
-	tasks := len(o.plan.submission.Tasks)
+func (r *Result) checkComplete(s *trackedSubmission, a *job.Answer, counted startCounts) {
+	tasks := len(s.plan.submission.Tasks)
 	if len(a.Results) != tasks {
-		v.breach(RuleCompleteResults, o.id, "%d results for %d tasks", len(a.Results), tasks)
+		r.addBreach(RuleCompleteResults, s.id, "%d results for %d tasks", len(a.Results), tasks)
 		return
 	}
 	for i, result := range a.Results {
-		if want := echoOf(o.plan.unique, i); string(result) != want {
-			v.breach(RuleCompleteResults, o.id, "task %d returned %q and not %q", i, result, want)
+		if want := expectedEcho(s.plan.unique, i); string(result) != want {
+			r.addBreach(RuleCompleteResults, s.id, "task %d returned %q and not %q", i, result, want)
 		}
-		if counted[taskKey(o.id, i)] == 0 {
-			v.breach(RuleCompleteRan, o.id, "no target started task %d", i)
+		if counted[taskKey(s.id, i)] == 0 {
+			r.addBreach(RuleCompleteRan, s.id, "no target started task %d", i)
 			continue
 		}
-		v.UsedStarts++ // one result a task, however often it was started
+		r.UsedStarts++ // one result per task, however often it was started
 	}
 }
 
-// same reports whether two answers say the same. The time to come back may differ.
-func same(a, b *job.Answer) bool {
+// sameAnswer reports whether two answers are equal. The retry time in a failure may differ.
+func sameAnswer(a, b *job.Answer) bool {
 	if a.State != b.State || (a.Failure == nil) != (b.Failure == nil) {
 		return false
 	}
@@ -224,26 +227,27 @@
 	return slices.EqualFunc(a.Results, b.Results, bytes.Equal)
 }
 
-func describe(a *job.Answer) string {
+func describeAnswer(a *job.Answer) string {
 	if a.Failure == nil {
 		return string(a.State)
 	}
 	return fmt.Sprintf("%s (%v, not_run=%t)", a.State, a.Failure, a.Failure.NotRun)
 }
 
-// ratio is the first caller's response over the ideal: the longest task on the
-// fastest target, with no wait.
-func ratio(o *observed, fastest float64) float64 {
-	ideal := float64(o.plan.longestMs) * float64(time.Millisecond) / fastest
-	for _, s := range o.outcomes {
-		if s.entry == o.plan.entry && s.response > 0 {
-			return float64(s.response) / ideal
+// responseRatio returns the response time of the first call divided by the ideal one: that of the
+// longest task on the fastest target without waiting. It returns 0 if there is none.
+func responseRatio(s *trackedSubmission, fastest float64) float64 {
+	ideal := float64(s.plan.longestMs) * float64(time.Millisecond) / fastest
+	for _, outcome := range s.outcomes {
+		if outcome.entry == s.plan.entry && outcome.responseTime > 0 {
+			return float64(outcome.responseTime) / ideal
 		}
 	}
 	return 0
 }
 
-// quantile returns the q-th quantile by the nearest rank; 0 where there is none.
+// quantile returns the q-quantile by the nearest-rank method, or 0 if there are no values. It sorts
+// values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
