--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -33,6 +33,7 @@
 	tokens []string // one per entry, for the ids of submissions
 }
 
+// newCallers returns callers with a client and a token for each of the entry addresses.
 func newCallers(ctx context.Context, entries []string) (*callers, error) {
 	c := &callers{entryAddrs: entries, history: &history{}, withTimeout: context.WithTimeout, tokens: make([]string, len(entries))}
 	for i := range entries {
@@ -102,6 +103,8 @@
 	c.calls.Go(func() { c.submit(ctx, s, c.otherEntry(s.plan.entry)) })
 }
 
+// submit sends a submission through an entry and records the outcome. It waits for the final
+// answer until answerGrace after the deadline.
 func (c *callers) submit(ctx context.Context, s *trackedSubmission, entry int) {
 	ctx, cancel := c.withTimeout(ctx, s.plan.deadline+answerGrace)
 	defer cancel()
@@ -143,6 +146,7 @@
 	}
 }
 
+// otherEntry returns the index of another entry than the given one.
 func (c *callers) otherEntry(entry int) int { return (entry + 1) % len(c.clients) }
 
 func (c *callers) close() {
--- a/internal/demo/chaos.go
+++ b/internal/demo/chaos.go
@@ -128,6 +128,7 @@
 	}
 }
 
+// randomDuration returns a random duration of at least low and less than high.
 func randomDuration(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
@@ -151,6 +152,8 @@
 	}
 }
 
+// killEntry kills an entry and restarts it after a random time. The index wraps around, since onTwo
+// may pass one beyond the last.
 func (c *chaos) killEntry(victim int) error {
 	victim %= len(c.run.disrupted)
 	c.run.disrupted[victim].Store(true)
@@ -159,6 +162,8 @@
 	return c.restartEntry(victim)
 }
 
+// drainEntry stops an entry gracefully and restarts it. It returns an error if the entry did not
+// stop within drainTimeout.
 func (c *chaos) drainEntry(victim int) error {
 	c.run.disrupted[victim].Store(true)
 	if !c.run.deployment.entry(victim).StopWithin(drainTimeout) {
@@ -167,6 +172,7 @@
 	return c.restartEntry(victim)
 }
 
+// restartEntry restarts an entry and fetches a token of the new process.
 func (c *chaos) restartEntry(victim int) error {
 	if err := c.run.deployment.restartEntry(c.ctx, victim); err != nil {
 		return err
@@ -186,6 +192,8 @@
 	return nil
 }
 
+// killAgent kills an agent and restarts it after a random time. The index wraps around as in
+// killEntry.
 func (c *chaos) killAgent(victim int) error {
 	victim %= len(targetSpeeds)
 	c.run.deployment.agent(victim).Kill()
@@ -197,6 +205,8 @@
 	return c.pauseAndResume(c.run.deployment.agent(victim))
 }
 
+// drainAgent stops an agent gracefully and restarts it. It returns an error if the agent did not
+// stop within drainTimeout.
 func (c *chaos) drainAgent(victim int) error {
 	if !c.run.deployment.agent(victim).StopWithin(drainTimeout) {
 		return errors.Newf("%s did not end gracefully", c.run.deployment.agent(victim).Name)
@@ -234,6 +244,7 @@
 	return post(c.ctx, url, end)
 }
 
+// post sends body as JSON and returns an error unless the response status is 200.
 func post(ctx context.Context, url string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -81,6 +81,8 @@
 	}
 }
 
+// changeLoop publishes pairs of changes until the context until ends. A pair in progress is
+// completed with ctx.
 func (o *operators) changeLoop(ctx, until context.Context) {
 	for value := int64(firstValue); until.Err() == nil; value += 2 {
 		o.publishConcurrently(ctx, value)
@@ -139,6 +141,8 @@
 	o.breaches = append(o.breaches, Breach{Rule: rule, Subject: subject, Detail: detail})
 }
 
+// pollLoop polls all daemons and marks the changes that are in force everywhere, until the context
+// ends.
 func (o *operators) pollLoop(until context.Context) {
 	for until.Err() == nil {
 		if lowest, _ := o.pollVersions(until); lowest != noVersion {
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -21,6 +21,8 @@
 	targets []*localfleet.Process
 }
 
+// startDeployment starts the fleet and waits until every entry can use every target. It stops the
+// fleet again if that fails.
 func startDeployment(ctx context.Context, o Options) (*deployment, error) {
 	s := &deployment{fleet: localfleet.New(localfleet.Options{BinDir: o.BinDir, LogDir: o.LogDir, Key: rand.Text()})}
 	err := s.startAll(ctx, o)
--- a/internal/demo/drive.go
+++ b/internal/demo/drive.go
@@ -128,6 +128,7 @@
 	}
 }
 
+// cancelPending cancels up to maxCancelBatch of the pending submissions with one call.
 func (r *run) cancelPending(ctx context.Context) {
 	batch := r.callers.history.pending()
 	batch = batch[:min(len(batch), maxCancelBatch)]
@@ -183,6 +184,7 @@
 	return sum, nil
 }
 
+// checkProcesses adds a breach for each process that crashed or did not stop gracefully.
 func (r *Result) checkProcesses(crashed, unclean []*localfleet.Process) {
 	for _, p := range crashed {
 		r.addBreach(RuleProcessExit, p.Name, "ended by itself; its last log lines: %q", p.LogTail())
@@ -192,6 +194,7 @@
 	}
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/demo/standstill.go
+++ b/internal/demo/standstill.go
@@ -42,12 +42,14 @@
 	}
 }
 
+// pauseAll pauses all processes of the fleet together.
 func (c *chaos) pauseAll(duration time.Duration) {
 	resume := c.run.deployment.fleet.PauseAll()
 	sleep(c.ctx, duration)
 	resume()
 }
 
+// pauseHalf pauses a random half of the running processes for a short time.
 func (c *chaos) pauseHalf(random *rand.Rand) {
 	processes := c.run.deployment.runningProcesses()
 	random.Shuffle(len(processes), func(i, j int) { processes[i], processes[j] = processes[j], processes[i] })
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -54,6 +54,7 @@
 	fmt.Fprintln(out, result.SummaryLine())
 }
 
+// callCount returns the number of outcomes recorded for all submissions.
 func (r *run) callCount() int {
 	n := 0
 	for _, o := range r.callers.history.list() {
--- a/internal/demo/targetcounts.go
+++ b/internal/demo/targetcounts.go
@@ -16,6 +16,7 @@
 // startCounts holds the number of starts by "job id/task index", as counted by the targets.
 type startCounts map[string]int
 
+// taskKey returns the key of a task in startCounts.
 func taskKey(id string, task int) string { return id + "/" + strconv.Itoa(task) }
 
 func (s startCounts) total() int {
@@ -43,6 +44,7 @@
 	return all, perTarget, nil
 }
 
+// fetchStarts fetches the start counts of the target at addr.
 func fetchStarts(ctx context.Context, addr string) (startCounts, error) {
 	ctx, cancel := context.WithTimeout(ctx, startsTimeout)
 	defer cancel()
--- a/internal/demo/verdict.go
+++ b/internal/demo/verdict.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// checkStarts checks that no task of a submission was started twice, unless it is idempotent.
 func (r *Result) checkStarts(s *trackedSubmission, counted startCounts) {
 	if s.plan.submission.Idempotent {
 		return // may run again where its outcome is unknown
@@ -181,6 +182,8 @@
 	return outcome.answer == nil && errors.Is(outcome.err, &fault.Fault{Code: fault.AnswerExpired})
 }
 
+// checkAgainstStarts checks an answer against the starts of its tasks: tasks of a job that was not
+// run have no starts. It checks a complete answer with checkComplete.
 func (r *Result) checkAgainstStarts(s *trackedSubmission, a *job.Answer, counted startCounts) {
 	if a.State == job.Complete {
 		r.checkComplete(s, a, counted)
@@ -198,6 +201,8 @@
 	}
 }
 
+// checkComplete checks that a complete answer has the expected result of each task and that each
+// task was started.
 func (r *Result) checkComplete(s *trackedSubmission, a *job.Answer, counted startCounts) {
 	tasks := len(s.plan.submission.Tasks)
 	if len(a.Results) != tasks {
--- a/internal/demo/work.go
+++ b/internal/demo/work.go
@@ -78,12 +78,14 @@
 	return &generator{random: rand.New(rand.NewPCG(seed, 0)), entries: entries, meanInterArrival: interArrival}
 }
 
+// meanRunSeconds returns the mean run time of a task at speed 1.
 func meanRunSeconds() float64 {
 	short := float64(minRunMs+maxRunMs) / 2
 	long := float64(minLongMs+maxLongMs) / 2
 	return (short*(1-longShare) + long*longShare) / 1000
 }
 
+// meanTasks returns the mean number of tasks of a job.
 func meanTasks() float64 {
 	sum := 0
 	for _, n := range jobSizes {
@@ -128,6 +130,7 @@
 	return s
 }
 
+// drawRunMs draws the run time of a task at speed 1.
 func (g *generator) drawRunMs() int64 {
 	if g.drawBool(longShare) {
 		return minLongMs + g.random.Int64N(maxLongMs-minLongMs)
@@ -140,8 +143,10 @@
 	return max(1, int64(float64(runMs)*math.Exp(estimateSigma*g.random.NormFloat64())))
 }
 
+// drawBool returns true with probability p.
 func (g *generator) drawBool(p float64) bool { return g.random.Float64() < p }
 
+// drawDuration returns a random duration of at least 0 and less than d.
 func (g *generator) drawDuration(d time.Duration) time.Duration {
 	return time.Duration(g.random.Int64N(int64(d)))
 }
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -99,6 +99,7 @@
 	return errors.CombineErrors(ctx.Err(), err)
 }
 
+// announceLoop sends an announcement every targetapi.AnnounceInterval until ctx ends.
 func (s *Server) announceLoop(ctx context.Context) {
 	tick := time.NewTicker(targetapi.AnnounceInterval)
 	defer tick.Stop()
@@ -157,6 +158,8 @@
 	return g
 }
 
+// handleRun runs a task and responds with its result. A response with HeaderNotRun says that the
+// task was not started.
 func (s *Server) handleRun(g *gin.Context) {
 	var w Workload
 	body, err := io.ReadAll(io.LimitReader(g.Request.Body, job.MaxPayloadBytes+1))
@@ -179,10 +182,12 @@
 	}
 }
 
+// handleStarts responds with the start counts, and with the start log if the query has log=1.
 func (s *Server) handleStarts(g *gin.Context) {
 	g.JSON(http.StatusOK, s.target.snapshot(g.Query("log") == "1"))
 }
 
+// handleMode sets the behaviour of the target.
 func (s *Server) handleMode(g *gin.Context) {
 	var b Behaviour
 	if err := json.NewDecoder(g.Request.Body).Decode(&b); err != nil {
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -91,6 +91,7 @@
 	t.behaviourChanged = make(chan struct{})
 }
 
+// currentBehaviour returns the behaviour and a channel that is closed when it changes.
 func (t *Target) currentBehaviour() (Behaviour, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,6 +150,7 @@
 	}
 }
 
+// awaitEnd waits until done delivers or ctx ends.
 func (t *Target) awaitEnd(ctx context.Context, done <-chan time.Time) outcome {
 	select {
 	case <-ctx.Done():
@@ -158,10 +160,12 @@
 	}
 }
 
+// scaledDuration returns the time that a run of ms milliseconds at speed 1 takes on this target.
 func (t *Target) scaledDuration(ms float64) time.Duration {
 	return time.Duration(ms / t.speed * float64(time.Millisecond))
 }
 
+// recordStart counts a start and returns the index of its log entry, for recordEnd.
 func (t *Target) recordStart(task string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -218,6 +222,7 @@
 	return t.clock.Now().Sub(t.lastStart)
 }
 
+// drain marks the target as leaving, which its announcements then report.
 func (t *Target) drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
