--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -11,135 +11,138 @@
 )
 
 const (
-	// callerWait is how long a caller waits for an answer.
-	callerWait = 3 * time.Second
-	// resendPause is the pause after which a caller that lost its answer asks again.
-	resendPause = 1300 * time.Millisecond
-	// mostSends bounds how often one job is handed in.
-	mostSends = 3
-	// answerSlack is how much longer than its caller waits an entry may hold a job that
-	// it still answers.
-	answerSlack = time.Second
-	// leaves is the part of the callers that give up early, and poisons the part of the
-	// jobs that can never be done.
-	leaves, poisons = 0.1, 0.05
-	// crashers is the part of the jobs whose tasks crash their targets.
-	crashers = 0.01
+	// callerTimeout is how long a caller waits for an answer.
+	callerTimeout = 3 * time.Second
+	// resendDelay is the pause before a caller that got no final answer resends its job.
+	resendDelay = 1300 * time.Millisecond
+	// maxSends bounds the submissions of one job.
+	maxSends = 3
+	// answerTolerance is how much longer than callerTimeout an entry may hold a request that it
+	// still answers.
+	answerTolerance = time.Second
+	// giveUpShare is the share of submissions whose callers give up early, and poisonShare the
+	// share of jobs whose tasks fail on every target.
+	giveUpShare, poisonShare = 0.1, 0.05
+	// crasherShare is the share of jobs whose tasks crash their targets.
+	crasherShare = 0.01
 )
 
-// call sends one job after the other until the context ends.
-func (r *run) call(ctx context.Context, caller int) {
-	random := r.random(uint64(1000 + caller))
+// runCaller submits one job after the other until the context ends.
+func (r *run) runCaller(ctx context.Context, caller int) {
+	random := r.newRand(uint64(1000 + caller))
 	for n := 0; ctx.Err() == nil; n++ {
-		r.job(ctx, random, fmt.Sprintf("%08x%08x", caller+1, n))
+		r.submitJob(ctx, random, fmt.Sprintf("%08x%08x", caller+1, n))
 		clock.Sleep(ctx, time.Duration(random.IntN(100))*time.Millisecond)
 	}
 }
 
-// kindOf turns a number between 0 and 1 into the kind of a job's tasks.
-func kindOf(part float64) standin.TaskKind {
+// taskKind returns the kind of a job's tasks for a random number from 0 to below 1.
+func taskKind(draw float64) standin.TaskKind {
 	switch {
-	case part < crashers:
+	case draw < crasherShare:
 		return standin.Crasher
-	case part < crashers+poisons:
+	case draw < crasherShare+poisonShare:
 		return standin.Poison
 	}
 	return standin.Work
 }
 
-// job hands one job in, again and again as a real caller does: after no answer, a broken
-// connection or an unknown outcome, a fixed pause later and at any entry.
-func (r *run) job(ctx context.Context, random *rand.Rand, id string) {
-	kind := kindOf(random.Float64())
-	hopeless := kind != standin.Work
+// submitJob submits a job, and resends it as a real caller does: after no answer, a broken
+// connection or an unknown outcome, after a fixed pause and to any entry. If all answers are
+// "not run", it checks that no run of the job was started.
+func (r *run) submitJob(ctx context.Context, random *rand.Rand, id string) {
+	kind := taskKind(random.Float64())
+	mustFail := kind != standin.Work
 	body := standin.JobBody(kind, 1+random.IntN(6), 20+random.IntN(600))
-	r.count(func(t *JobCounts) { t.Sent++ })
-	refused := true
-	for range mostSends {
-		wait := callerWait
-		leaving := random.Float64() < leaves
-		if leaving {
-			wait = time.Duration(10+random.IntN(300)) * time.Millisecond
+	r.updateCounts(func(t *JobCounts) { t.Sent++ })
+	allRejected := true
+	for range maxSends {
+		timeout := callerTimeout
+		givesUp := random.Float64() < giveUpShare
+		if givesUp {
+			timeout = time.Duration(10+random.IntN(300)) * time.Millisecond
 		}
-		began, stood := time.Now(), r.own.total()
-		reply := r.fleet.Call(ctx, "POST", r.fleet.URL(random.IntN(r.Entries), "/q0/"+id), body, wait)
+		startedAt, stalledBefore := time.Now(), r.selfStalls.total()
+		reply := r.fleet.Call(ctx, "POST", r.fleet.URL(random.IntN(r.Entries), "/q0/"+id), body, timeout)
 		if ctx.Err() != nil {
-			return // the run is over; what became of it is not looked at
+			return // the run is over; the answer isn't checked
 		}
-		again := r.answered(id, reply, hopeless, leaving, time.Since(began)-(r.own.total()-stood))
+		retry := r.checkAnswer(id, reply, mustFail, givesUp, time.Since(startedAt)-(r.selfStalls.total()-stalledBefore))
 		if reply.Status != 429 && reply.Status != 503 {
-			refused = false
+			allRejected = false
 		}
-		if !again {
+		if !retry {
 			break
 		}
-		clock.Sleep(ctx, resendPause)
+		clock.Sleep(ctx, resendDelay)
 	}
-	if refused {
+	if allRejected {
 		r.fleet.Checker.CheckNotStarted(id)
 	}
 }
 
-// answered judges one answer, and reports whether the caller asks again.
-func (r *run) answered(id string, reply standin.Reply, poison, leaving bool, took time.Duration) (again bool) {
+// checkAnswer counts an answer, records a breach if it violates a guarantee, and reports
+// whether the caller resends the job. mustFail is set for jobs that can't complete, givesUp
+// for callers that wait for less than callerTimeout.
+func (r *run) checkAnswer(id string, reply standin.Reply, mustFail, givesUp bool, elapsed time.Duration) (retry bool) {
 	switch {
 	case reply.Status == 200 && reply.Body == `{"state":"completed"}`:
-		r.count(func(t *JobCounts) { t.Complete++ })
-		if poison {
-			r.breach("answer", id, "complete, though it can't be done")
+		r.updateCounts(func(t *JobCounts) { t.Complete++ })
+		if mustFail {
+			r.addBreach("answer", id, "complete, though it can't be done")
 		}
 		return false
 	case reply.Status == 200:
-		r.count(func(t *JobCounts) { t.Failed++ })
+		r.updateCounts(func(t *JobCounts) { t.Failed++ })
 		return false
 	case reply.Status == 429 || reply.Status == 503:
-		r.count(func(t *JobCounts) { t.NotRun++ })
+		r.updateCounts(func(t *JobCounts) { t.NotRun++ })
 		if reply.Header.Get("Retry-After") == "" {
-			r.breach("answer", id, fmt.Sprintf("%d without Retry-After", reply.Status))
+			r.addBreach("answer", id, fmt.Sprintf("%d without Retry-After", reply.Status))
 		}
 		return false
 	case reply.Status == 504:
-		r.count(func(t *JobCounts) { t.Unknown++ })
-	case reply.Status == 0 && leaving:
-		r.count(func(t *JobCounts) { t.GaveUp++ })
+		r.updateCounts(func(t *JobCounts) { t.Unknown++ })
+	case reply.Status == 0 && givesUp:
+		r.updateCounts(func(t *JobCounts) { t.GaveUp++ })
 	case reply.Status == 0:
-		r.count(func(t *JobCounts) { t.Unanswered++ })
+		r.updateCounts(func(t *JobCounts) { t.Unanswered++ })
 	case reply.Status == 404:
-		return true // this entry has no configuration with the queue yet
+		return true // the entry has no configuration with the queue yet
 	default:
-		r.breach("answer", id, fmt.Sprintf("status %d: %s", reply.Status, reply.Body))
+		r.addBreach("answer", id, fmt.Sprintf("status %d: %s", reply.Status, reply.Body))
 	}
-	if took > callerWait+answerSlack {
-		r.breach("answer", id, fmt.Sprintf("held for %s", took))
+	if elapsed > callerTimeout+answerTolerance {
+		r.addBreach("answer", id, fmt.Sprintf("held for %s", elapsed))
 	}
 	return true
 }
 
-// watchConfiguration sees that an entry never goes back to an older configuration while
-// its process lives.
-func (r *run) watchConfiguration(ctx context.Context, entry int) {
-	seen, process := 0, r.fleet.Entries[entry].Exited()
+// watchConfigVersion checks until the context ends that an entry never returns to an older
+// configuration within the life of its process.
+func (r *run) watchConfigVersion(ctx context.Context, entry int) {
+	highest, process := 0, r.fleet.Entries[entry].Exited()
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, 50*time.Millisecond)
 		now := r.fleet.Entries[entry].Exited()
 		if now != process {
-			seen, process = 0, now
+			highest, process = 0, now
 		}
 		r.mu.Lock()
-		newest := r.version
+		newest := r.configVersion
 		r.mu.Unlock()
 		for version := newest; version > max(0, newest-3); version-- {
-			status := r.inForce(ctx, entry, version)
+			status := r.configVersionStatus(ctx, entry, version)
 			if r.fleet.Entries[entry].Exited() != process || status == 0 {
-				break // it may have been another process
+				break // the answer may have come from another process
 			}
 			if status != 200 {
 				continue
 			}
-			if version < seen {
-				r.breach("configuration", "", fmt.Sprintf("entry %d goes back from version %d to %d", entry, seen, version))
+			if version < highest {
+				r.addBreach("configuration", "", fmt.Sprintf("entry %d goes back from version %d to %d", entry, highest, version))
 			}
-			seen = max(seen, version)
+			highest = max(highest, version)
 			break
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,73 +14,75 @@
 )
 
 const (
-	// Faults begin so long after each other, and last so long: from well below to well
-	// above the silence that ends a session, so that they overlap.
-	leastGap, mostGap   = 50 * time.Millisecond, 900 * time.Millisecond
-	leastLast, mostLast = 100 * time.Millisecond, 4 * time.Second
-	// graceful is how long a process may take to end after SIGTERM: its grace, and the
-	// time that a loaded machine adds.
-	graceful = 6*time.Second + 4*time.Second
+	// Bounds of the intervals between the starts of faults, and of their durations. Durations
+	// reach from well below to well above the silence timeout of sessions, so that faults overlap.
+	minFaultGap, maxFaultGap           = 50 * time.Millisecond, 900 * time.Millisecond
+	minFaultDuration, maxFaultDuration = 100 * time.Millisecond, 4 * time.Second
+	// terminationTimeout is how long a process may take to exit after SIGTERM: its grace period of
+	// 6 s, and 4 s for a loaded machine.
+	terminationTimeout = 6*time.Second + 4*time.Second
 )
 
-// fault is one thing that goes wrong. It begins at once and returns what ends it, or nil.
+// fault is a kind of fault. inject starts it and returns the function that undoes it after its
+// duration, or nil if there is nothing to undo.
 type fault struct {
-	name string
-	do   func(r *run, x *rand.Rand, lasting time.Duration) (undo func())
+	name   string
+	inject func(r *run, rnd *rand.Rand, duration time.Duration) (undo func())
 }
 
 var faults = []fault{
-	{"entry killed", onProcess(entries, (*run).killed)},
-	{"entry paused", onProcess(entries, (*run).paused)},
-	{"entry ended", onProcess(entries, (*run).ended)},
-	{"runner killed", onProcess(runners, (*run).killed)},
-	{"runner paused", onProcess(runners, (*run).paused)},
-	{"runner ended", onProcess(runners, (*run).ended)},
-	{"settings read again", onProcess(runners, (*run).reload)},
-	{"path to an entry", onPath(func(r *run, x *rand.Rand) *relay.Relay { return pick(x, r.fleet.CallerPaths) })},
-	{"path to a target", onPath(func(r *run, x *rand.Rand) *relay.Relay { return pick(x, r.fleet.TargetPaths) })},
-	{"path between processes", onPath(func(r *run, x *rand.Rand) *relay.Relay { return pick(x, pick(x, r.fleet.SessionPaths)) })},
-	{"runner cut off", runnerCutOff},
-	{"entry cut off", entryCutOff},
-	{"target crashes", targetCrashes},
-	{"target crashes behind a cut", targetCrashesBehindCut},
-	{"target loses orders and answers", targetMisbehaves},
-	{"target leaves", targetLeaves},
-	{"target slow", targetSlow},
-	{"store", storeMisbehaves},
-	{"store for one host", storeForOne},
-	{"store forgets", storeForgets},
-	{"configuration changes", configurationChanges},
-	{"configurations in a storm", configurationStorm},
-	{"data centre evacuated", dataCentreEvacuated},
-	{"capacity changes", capacityChanges},
-}
-
-// inject begins faults by the seed until the time is over, and waits for their ends.
-func (r *run) inject(ctx context.Context) {
-	x := r.random(1)
-	var all sync.WaitGroup
-	for until := time.Now().Add(r.Duration); time.Now().Before(until) && ctx.Err() == nil; {
-		f := pick(x, faults)
-		lasting := between(x, leastLast, mostLast)
-		own := rand.New(rand.NewPCG(x.Uint64(), 0))
+	{"entry killed", processFault(entryProcesses, (*run).killProcess)},
+	{"entry paused", processFault(entryProcesses, (*run).pauseProcess)},
+	{"entry ended", processFault(entryProcesses, (*run).terminateProcess)},
+	{"runner killed", processFault(runnerProcesses, (*run).killProcess)},
+	{"runner paused", processFault(runnerProcesses, (*run).pauseProcess)},
+	{"runner ended", processFault(runnerProcesses, (*run).terminateProcess)},
+	{"settings read again", processFault(runnerProcesses, (*run).reloadSettings)},
+	{"path to an entry", pathFault(func(r *run, rnd *rand.Rand) *relay.Relay { return pick(rnd, r.fleet.CallerPaths) })},
+	{"path to a target", pathFault(func(r *run, rnd *rand.Rand) *relay.Relay { return pick(rnd, r.fleet.TargetPaths) })},
+	{"path between processes", pathFault(func(r *run, rnd *rand.Rand) *relay.Relay { return pick(rnd, pick(rnd, r.fleet.SessionPaths)) })},
+	{"runner cut off", isolateRunner},
+	{"entry cut off", isolateEntry},
+	{"target crashes", crashRandomTarget},
+	{"target crashes behind a cut", restartTargetUnseen},
+	{"target loses orders and answers", injectTargetFaults},
+	{"target leaves", drainTarget},
+	{"target slow", slowTarget},
+	{"store", degradeStore},
+	{"store for one host", degradeStoreForHost},
+	{"store forgets", truncateStore},
+	{"configuration changes", changeConfiguration},
+	{"configurations in a storm", changeConfigurationRapidly},
+	{"data centre evacuated", evacuateDataCentre},
+	{"capacity changes", changeCapacity},
+}
+
+// injectFaults starts faults drawn from the seed until r.Duration has passed, and waits until
+// all are undone.
+func (r *run) injectFaults(ctx context.Context) {
+	rnd := r.newRand(1)
+	var wg sync.WaitGroup
+	for deadline := time.Now().Add(r.Duration); time.Now().Before(deadline) && ctx.Err() == nil; {
+		f := pick(rnd, faults)
+		duration := between(rnd, minFaultDuration, maxFaultDuration)
+		faultRand := rand.New(rand.NewPCG(rnd.Uint64(), 0))
 		r.faults++
-		fmt.Fprintf(r.Out, "%s fault %d: %s for %s\n", time.Now().Format(time.StampMilli), r.faults, f.name, lasting.Round(time.Millisecond))
-		all.Go(func() {
-			undo := f.do(r, own, lasting)
+		fmt.Fprintf(r.Out, "%s fault %d: %s for %s\n", time.Now().Format(time.StampMilli), r.faults, f.name, duration.Round(time.Millisecond))
+		wg.Go(func() {
+			undo := f.inject(r, faultRand, duration)
 			if undo == nil {
 				return
 			}
-			clock.Sleep(ctx, lasting)
+			clock.Sleep(ctx, duration)
 			undo()
 		})
-		clock.Sleep(ctx, between(x, leastGap, mostGap))
+		clock.Sleep(ctx, between(rnd, minFaultGap, maxFaultGap))
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// heal undoes what faults that were cut short may have left behind.
-func (r *run) heal() {
+// clearFaults undoes what interrupted faults may have left behind.
+func (r *run) clearFaults() {
 	r.fleet.Store.SetMode("", standin.StoreNormal)
 	r.fleet.Store.SetDelay(0)
 	for _, t := range r.fleet.Targets {
@@ -94,40 +96,42 @@
 	}
 }
 
-func pick[T any](x *rand.Rand, list []T) T { return list[x.IntN(len(list))] }
+func pick[T any](rnd *rand.Rand, list []T) T { return list[rnd.IntN(len(list))] }
 
-func between(x *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(x.Int64N(int64(most-least)))
+func between(rnd *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(rnd.Int64N(int64(longest-shortest)))
 }
 
-func entries(r *run) []*slot { return r.slots(r.fleet.Entries) }
-func runners(r *run) []*slot { return r.slots(r.fleet.Runners) }
+func entryProcesses(r *run) []*lockableProcess  { return r.lockableProcesses(r.fleet.Entries) }
+func runnerProcesses(r *run) []*lockableProcess { return r.lockableProcesses(r.fleet.Runners) }
 
-// slot is a process with a lock: two faults must not stop and start the same one.
-type slot struct {
+// lockableProcess is a process with a lock, which prevents two faults from stopping and starting
+// it at the same time.
+type lockableProcess struct {
 	*standin.Process
 	mu *sync.Mutex
 }
 
-var slotLocks sync.Map // *standin.Process to *sync.Mutex
+var faultLocks sync.Map // *standin.Process or *standin.Target to *sync.Mutex
 
-func (r *run) slots(processes []*standin.Process) []*slot {
-	list := make([]*slot, len(processes))
+func (r *run) lockableProcesses(processes []*standin.Process) []*lockableProcess {
+	list := make([]*lockableProcess, len(processes))
 	for i, p := range processes {
-		mu, _ := slotLocks.LoadOrStore(p, &sync.Mutex{})
-		list[i] = &slot{p, mu.(*sync.Mutex)}
+		mu, _ := faultLocks.LoadOrStore(p, &sync.Mutex{})
+		list[i] = &lockableProcess{p, mu.(*sync.Mutex)}
 	}
 	return list
 }
 
-// onProcess picks a process that no other fault has.
-func onProcess(of func(*run) []*slot, do func(*run, *slot, *rand.Rand, time.Duration) func()) func(*run, *rand.Rand, time.Duration) func() {
-	return func(r *run, x *rand.Rand, lasting time.Duration) func() {
-		p := pick(x, of(r))
+// processFault returns a fault that affects a random process and holds its lock for its
+// duration. It does nothing if another fault has the process.
+func processFault(processes func(*run) []*lockableProcess, inject func(*run, *lockableProcess, *rand.Rand, time.Duration) func()) func(*run, *rand.Rand, time.Duration) func() {
+	return func(r *run, rnd *rand.Rand, duration time.Duration) func() {
+		p := pick(rnd, processes(r))
 		if !p.mu.TryLock() {
 			return nil
 		}
-		undo := do(r, p, x, lasting)
+		undo := inject(r, p, rnd, duration)
 		return func() {
 			defer p.mu.Unlock()
 			undo()
@@ -135,61 +139,62 @@
 	}
 }
 
-func (r *run) start(p *slot) {
+func (r *run) startProcess(p *lockableProcess) {
 	if err := p.Start(); err != nil {
-		r.breach("process", p.Name, "it does not start: "+err.Error())
+		r.addBreach("process", p.Name, "it does not start: "+err.Error())
 	}
 }
 
-func (r *run) killed(p *slot, _ *rand.Rand, _ time.Duration) func() {
-	r.exited(p)
+func (r *run) killProcess(p *lockableProcess, _ *rand.Rand, _ time.Duration) func() {
+	r.checkStillRunning(p)
 	p.Kill()
-	return func() { r.start(p) }
+	return func() { r.startProcess(p) }
 }
 
-// exited notes a process that has ended by itself.
-func (r *run) exited(p *slot) {
+// checkStillRunning records a breach if a process has exited by itself.
+func (r *run) checkStillRunning(p *lockableProcess) {
 	select {
 	case <-p.Exited():
-		r.breach("process", p.Name, "it ended by itself")
+		r.addBreach("process", p.Name, "it ended by itself")
 	default:
 	}
 }
 
-func (r *run) paused(p *slot, _ *rand.Rand, _ time.Duration) func() {
+func (r *run) pauseProcess(p *lockableProcess, _ *rand.Rand, _ time.Duration) func() {
 	p.Signal(syscall.SIGSTOP)
 	return func() { p.Signal(syscall.SIGCONT) }
 }
 
-func (r *run) ended(p *slot, _ *rand.Rand, _ time.Duration) func() {
-	r.exited(p)
+func (r *run) terminateProcess(p *lockableProcess, _ *rand.Rand, _ time.Duration) func() {
+	r.checkStillRunning(p)
 	p.Signal(syscall.SIGTERM)
 	return func() {
 		select {
 		case <-p.Exited():
 			if code := p.Wait(); code != 0 {
-				r.breach("process", p.Name, fmt.Sprintf("SIGTERM ends it with %d", code))
+				r.addBreach("process", p.Name, fmt.Sprintf("SIGTERM ends it with %d", code))
 			}
-		case <-time.After(graceful):
-			r.breach("process", p.Name, "it does not end after SIGTERM")
+		case <-time.After(terminationTimeout):
+			r.addBreach("process", p.Name, "it does not end after SIGTERM")
 			p.Kill()
 		}
-		r.start(p)
+		r.startProcess(p)
 	}
 }
 
-func (r *run) reload(p *slot, _ *rand.Rand, _ time.Duration) func() {
+func (r *run) reloadSettings(p *lockableProcess, _ *rand.Rand, _ time.Duration) func() {
 	p.Signal(syscall.SIGHUP)
 	return func() {}
 }
 
-// onPath makes a path slow, silent, one way or broken.
-func onPath(path func(*run, *rand.Rand) *relay.Relay) func(*run, *rand.Rand, time.Duration) func() {
-	return func(r *run, x *rand.Rand, _ time.Duration) func() {
-		p := path(r, x)
-		switch x.IntN(5) {
+// pathFault returns a fault that delays a path, drops the data of its open connections in one
+// or both directions, or resets them.
+func pathFault(path func(*run, *rand.Rand) *relay.Relay) func(*run, *rand.Rand, time.Duration) func() {
+	return func(r *run, rnd *rand.Rand, _ time.Duration) func() {
+		p := path(r, rnd)
+		switch rnd.IntN(5) {
 		case 0:
-			p.SetDelay(time.Duration(1+x.IntN(60)) * time.Millisecond)
+			p.SetDelay(time.Duration(1+rnd.IntN(60)) * time.Millisecond)
 			return func() { p.SetDelay(0) }
 		case 1:
 			p.BlackholeOpen(true, true)
@@ -204,8 +209,9 @@
 	}
 }
 
-// darken cuts paths for old and new connections alike.
-func darken(paths []*relay.Relay) func() {
+// blackhole makes open and new connections on paths carry no data. The returned function ends
+// this for new connections.
+func blackhole(paths []*relay.Relay) func() {
 	for _, p := range paths {
 		p.SetBlackholeNew(true)
 		p.BlackholeOpen(true, true)
@@ -217,32 +223,33 @@
 	}
 }
 
-func runnerCutOff(r *run, x *rand.Rand, _ time.Duration) func() {
-	i := x.IntN(len(r.fleet.Runners))
+func isolateRunner(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	i := rnd.IntN(len(r.fleet.Runners))
 	r.fleet.Store.SetMode(r.fleet.Runners[i].IP(), standin.StoreUnresponsive)
-	light := darken(r.fleet.SessionPaths[i])
+	restore := blackhole(r.fleet.SessionPaths[i])
 	return func() {
-		light()
+		restore()
 		r.fleet.Store.SetMode(r.fleet.Runners[i].IP(), standin.StoreNormal)
 	}
 }
 
-func entryCutOff(r *run, x *rand.Rand, _ time.Duration) func() {
-	e := x.IntN(r.Entries)
+func isolateEntry(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	e := rnd.IntN(r.Entries)
 	paths := []*relay.Relay{r.fleet.CallerPaths[e]}
-	for _, inner := range r.fleet.SessionPaths {
-		paths = append(paths, inner[e])
+	for _, sessionPaths := range r.fleet.SessionPaths {
+		paths = append(paths, sessionPaths[e])
 	}
 	r.fleet.Store.SetMode(r.fleet.Entries[e].IP(), standin.StoreUnresponsive)
-	light := darken(paths)
+	restore := blackhole(paths)
 	return func() {
-		light()
+		restore()
 		r.fleet.Store.SetMode(r.fleet.Entries[e].IP(), standin.StoreNormal)
 	}
 }
 
-// up begins another life of a target; a port that is not free yet is tried again.
-func (r *run) up(t *standin.Target) {
+// startTarget starts a target, and retries while its port is still in use: up to 50 times,
+// every 50 ms.
+func (r *run) startTarget(t *standin.Target) {
 	var err error
 	for range 50 {
 		if err = t.Start(); err == nil {
@@ -250,128 +257,130 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	r.breach("stand-in", "", err.Error())
+	r.addBreach("stand-in", "", err.Error())
 }
 
-func targetCrashes(r *run, x *rand.Rand, _ time.Duration) func() {
-	return r.crash(x.IntN(len(r.fleet.Targets)))
+func crashRandomTarget(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	return r.crashTarget(rnd.IntN(len(r.fleet.Targets)))
 }
 
-// crash ends a target's life, unless another fault has it.
-func (r *run) crash(i int) func() {
+// crashTarget stops a target and returns the function that starts it again; nil if another
+// fault has stopped the target.
+func (r *run) crashTarget(i int) func() {
 	t := r.fleet.Targets[i]
-	mu, _ := slotLocks.LoadOrStore(t, &sync.Mutex{})
+	mu, _ := faultLocks.LoadOrStore(t, &sync.Mutex{})
 	if !mu.(*sync.Mutex).TryLock() {
 		return nil
 	}
 	t.Stop()
 	return func() {
 		defer mu.(*sync.Mutex).Unlock()
-		r.up(t)
+		r.startTarget(t)
 	}
 }
 
-// targetCrashesBehindCut lets a target begin another life under its name while its
-// runner can't see it.
-func targetCrashesBehindCut(r *run, x *rand.Rand, _ time.Duration) func() {
-	i := x.IntN(len(r.fleet.Targets))
-	again := r.crash(i)
-	if again == nil {
+// restartTargetUnseen restarts a target while its runner can't reach it, so that the runner
+// meets another incarnation under the same name.
+func restartTargetUnseen(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	i := rnd.IntN(len(r.fleet.Targets))
+	restart := r.crashTarget(i)
+	if restart == nil {
 		return nil
 	}
-	light := darken(r.fleet.TargetPaths[i : i+1])
-	again()
-	return light
+	restore := blackhole(r.fleet.TargetPaths[i : i+1])
+	restart()
+	return restore
 }
 
-func targetMisbehaves(r *run, x *rand.Rand, _ time.Duration) func() {
-	t := pick(x, r.fleet.Targets)
-	t.SetFaults(x.Float64()*0.3, x.Float64()*0.3, x.IntN(4) == 0)
+func injectTargetFaults(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	t := pick(rnd, r.fleet.Targets)
+	t.SetFaults(rnd.Float64()*0.3, rnd.Float64()*0.3, rnd.IntN(4) == 0)
 	return func() { t.SetFaults(0, 0, false) }
 }
 
-func targetLeaves(r *run, x *rand.Rand, _ time.Duration) func() {
-	i := x.IntN(len(r.fleet.Targets))
+func drainTarget(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	i := rnd.IntN(len(r.fleet.Targets))
 	t := r.fleet.Targets[i]
 	t.Drain()
 	return func() {
-		if again := r.crash(i); again != nil {
-			again()
+		if restart := r.crashTarget(i); restart != nil {
+			restart()
 		}
 	}
 }
 
-func targetSlow(r *run, x *rand.Rand, _ time.Duration) func() {
-	t := pick(x, r.fleet.Targets)
-	t.SetSlowdown(1 + x.Float64()*20)
+func slowTarget(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	t := pick(rnd, r.fleet.Targets)
+	t.SetSlowdown(1 + rnd.Float64()*20)
 	return func() { t.SetSlowdown(1) }
 }
 
-var storeModes = []standin.StoreMode{standin.StoreUnresponsive, standin.StoreUnavailable, standin.StoreReset, standin.StoreAnswerLost}
+var storeFaultModes = []standin.StoreMode{standin.StoreUnresponsive, standin.StoreUnavailable, standin.StoreReset, standin.StoreAnswerLost}
 
-func storeMisbehaves(r *run, x *rand.Rand, _ time.Duration) func() {
-	if x.IntN(3) == 0 {
-		r.fleet.Store.SetDelay(time.Duration(x.IntN(700)) * time.Millisecond)
+func degradeStore(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	if rnd.IntN(3) == 0 {
+		r.fleet.Store.SetDelay(time.Duration(rnd.IntN(700)) * time.Millisecond)
 		return func() { r.fleet.Store.SetDelay(0) }
 	}
-	r.fleet.Store.SetMode("", pick(x, storeModes))
+	r.fleet.Store.SetMode("", pick(rnd, storeFaultModes))
 	return func() { r.fleet.Store.SetMode("", standin.StoreNormal) }
 }
 
-func storeForOne(r *run, x *rand.Rand, _ time.Duration) func() {
-	host := pick(x, append(append([]*standin.Process(nil), r.fleet.Entries...), r.fleet.Runners...)).IP()
-	r.fleet.Store.SetMode(host, pick(x, storeModes))
+func degradeStoreForHost(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	host := pick(rnd, append(append([]*standin.Process(nil), r.fleet.Entries...), r.fleet.Runners...)).IP()
+	r.fleet.Store.SetMode(host, pick(rnd, storeFaultModes))
 	return func() { r.fleet.Store.SetMode(host, standin.StoreNormal) }
 }
 
-func storeForgets(r *run, x *rand.Rand, _ time.Duration) func() {
+func truncateStore(r *run, rnd *rand.Rand, _ time.Duration) func() {
 	r.fleet.TruncateConfigurations()
-	if x.IntN(2) == 0 {
+	if rnd.IntN(2) == 0 {
 		r.fleet.TruncateEntryRecords()
 	}
 	return nil
 }
 
-// evacuationBound is when nothing starts any more in a data centre, with whatever other faults
-// under way: a process that hears nothing of it for so long has no session over which orders
-// come, or one that brings it the word.
-const evacuationBound = mostLast + 2*time.Second
+// evacuationGrace is the time after which no run may start in an evacuated data centre, whatever
+// other faults there are. A process that hasn't received the evacuation by then has no session
+// that could carry orders, or has one that also delivers the evacuation.
+const evacuationGrace = maxFaultDuration + 2*time.Second
 
-// dataCentreEvacuated evacuates a data centre for longer than other faults last.
-func dataCentreEvacuated(r *run, x *rand.Rand, lasting time.Duration) func() {
-	name := r.fleet.TargetDataCentre(x.IntN(len(r.fleet.Targets)))
+// evacuateDataCentre evacuates a data centre for twice the drawn duration, and so for longer than
+// other faults last.
+func evacuateDataCentre(r *run, rnd *rand.Rand, duration time.Duration) func() {
+	name := r.fleet.TargetDataCentre(rnd.IntN(len(r.fleet.Targets)))
 	r.fleet.Evacuate(name)
-	r.fleet.Checker.ForbidStarts(name, time.Now().Add(evacuationBound))
-	time.Sleep(lasting) // and again as long
+	r.fleet.Checker.ForbidStarts(name, time.Now().Add(evacuationGrace))
+	time.Sleep(duration) // the undo function is called after the same time again
 	return func() {
 		r.fleet.Checker.ForbidStarts(name, time.Time{})
 		r.fleet.Restore(name)
 	}
 }
 
-// capacityChanges lets a target shrink, and grow again, while it runs.
-func capacityChanges(r *run, x *rand.Rand, _ time.Duration) func() {
-	t := pick(x, r.fleet.Targets)
-	t.SetCapacity(1000 * (1 + x.IntN(8)))
+// changeCapacity changes a target's capacity while it runs, and restores it afterwards.
+func changeCapacity(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	t := pick(rnd, r.fleet.Targets)
+	t.SetCapacity(1000 * (1 + rnd.IntN(8)))
 	return func() { t.SetCapacity(standin.DefaultCPUMilli) }
 }
 
-func (r *run) configure() {
+func (r *run) writeConfiguration() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.version++
-	r.fleet.Configure(r.version, 2)
+	r.configVersion++
+	r.fleet.Configure(r.configVersion, 2)
 }
 
-func configurationChanges(r *run, _ *rand.Rand, _ time.Duration) func() {
-	r.configure()
+func changeConfiguration(r *run, _ *rand.Rand, _ time.Duration) func() {
+	r.writeConfiguration()
 	return nil
 }
 
-func configurationStorm(r *run, x *rand.Rand, _ time.Duration) func() {
-	for range 3 + x.IntN(8) {
-		r.configure()
-		time.Sleep(time.Duration(x.IntN(80)) * time.Millisecond)
+func changeConfigurationRapidly(r *run, rnd *rand.Rand, _ time.Duration) func() {
+	for range 3 + rnd.IntN(8) {
+		r.writeConfiguration()
+		time.Sleep(time.Duration(rnd.IntN(80)) * time.Millisecond)
 	}
 	return nil
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,9 +1,10 @@
 // Package soak runs the real programs as processes on loopback and injects faults from
-// outside them, by a seed: relays that are slow, cut, one way or broken; processes that
-// are killed, paused, ended and started again; a store that is silent, busy, forgets or
-// loses answers; targets that crash, fail, stand, leave and carry orders out late. Faults
-// come in series and overlap. While they do, callers send jobs and send them again as
-// real ones do, and what targets and callers see is held against the promises.
+// outside, drawn from a seed: relays that delay data, drop it in one or both directions or
+// reset connections; processes that are killed, paused, terminated and restarted; a store
+// that hangs, is unavailable, is truncated or loses answers; targets that crash, fail, slow
+// down, drain and carry out orders late. Faults overlap. Meanwhile callers submit jobs and
+// resend them as real ones do, and the run checks the platform's guarantees by what targets
+// and callers observe.
 package soak
 
 import (
@@ -20,19 +21,19 @@
 	"github.com/camphorrack/camphorrack/platform/standin"
 )
 
-// Options of one run.
+// Options configures a run.
 type Options struct {
-	BinDir   string // directory of the programs
-	Dir      string // for settings and logs
+	BinDir   string // directory of the program binaries
+	Dir      string // directory for settings files and logs
 	Seed     uint64
-	Duration time.Duration // with faults
+	Duration time.Duration // time during which faults are injected
 	Entries  int
 	Targets  int
 	Callers  int
-	Out      io.Writer // a line for each fault
+	Out      io.Writer // receives a line for each fault
 }
 
-// The usual size: some tens of processes with their relays.
+// Default size of a run: some tens of processes with their relays.
 const (
 	DefaultEntries = 3
 	DefaultTargets = 6
@@ -40,20 +41,21 @@
 )
 
 const (
-	// dataCentres is how many the hosts are spread over, and crashFor how long a target that a
-	// task has crashed is down.
-	dataCentres = 3
-	crashFor    = 2 * time.Second
-	// settleWait bounds the time until every entry serves, at the start and after the
-	// last fault. A loaded machine takes its time; the run ends as soon as they do.
-	settleWait = 60 * time.Second
-	// healQuiet is how long after the last fault what was under way may still end.
-	healQuiet = 3 * time.Second
-	// checkedJobs are sent at the end, to each entry; all must be answered complete.
-	checkedJobs = 5
+	// dataCentres is the number of data centres that the hosts are spread over, and crashDowntime
+	// the time from a target's crash by a task to its restart.
+	dataCentres   = 3
+	crashDowntime = 2 * time.Second
+	// readyTimeout bounds the time until every entry serves, at the start and after the last
+	// fault. It allows for a loaded machine; the run continues as soon as all entries serve.
+	readyTimeout = 60 * time.Second
+	// recoveryGrace is the time after the last fault that requests in progress have to end.
+	recoveryGrace = 3 * time.Second
+	// recoveryJobsPerEntry is the number of jobs sent to each entry after the faults; all must be
+	// answered complete.
+	recoveryJobsPerEntry = 5
 )
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Seed     uint64
 	Faults   int
@@ -61,64 +63,67 @@
 	Breaches []standin.Breach
 }
 
-// JobCounts counts how jobs ended.
+// JobCounts counts submitted jobs, and the answers to them by kind. A job that is resent may
+// get several.
 type JobCounts struct {
 	Sent, Complete, Failed, NotRun, Unknown, Unanswered, GaveUp int
 }
 
-// String returns the result as a line.
+// String returns the result as one line.
 func (r Result) String() string {
 	return fmt.Sprintf("seed=%d faults=%d jobs=%d complete=%d failed=%d not_run=%d unknown=%d broken=%d gave_up=%d breaches=%d",
 		r.Seed, r.Faults, r.Jobs.Sent, r.Jobs.Complete, r.Jobs.Failed, r.Jobs.NotRun, r.Jobs.Unknown, r.Jobs.Unanswered, r.Jobs.GaveUp, len(r.Breaches))
 }
 
-// run is one run.
+// run is the state of a run.
 type run struct {
 	Options
-	fleet *standin.Fleet
-	own   *ownStalls
-
-	mu      sync.Mutex
-	tally   JobCounts
-	faults  int
-	broken  []standin.Breach
-	version int // newest configuration that was written
+	fleet      *standin.Fleet
+	selfStalls *selfStallCounter
+
+	mu            sync.Mutex
+	jobCounts     JobCounts
+	faults        int
+	breaches      []standin.Breach
+	configVersion int // version of the newest configuration written
 }
 
-// Run plays one seed. An error means that the run could not be made.
+// Run executes one run, which its seed determines but for timing, and waits until its
+// processes have stopped. Violated guarantees are in the result; an error means that the run
+// could not be started.
 func Run(ctx context.Context, o Options) (Result, error) {
 	fleet, err := standin.NewFleet(standin.FleetOptions{
 		BinDir: o.BinDir, Dir: o.Dir, Entries: o.Entries, Targets: o.Targets, Relays: true, Seed: o.Seed,
-		DataCentres: dataCentres, CrashDowntime: crashFor,
+		DataCentres: dataCentres, CrashDowntime: crashDowntime,
 	})
 	if err != nil {
 		return Result{}, err
 	}
 	defer fleet.Close()
-	r := &run{Options: o, fleet: fleet, own: newOwnStalls(), version: 1}
-	if err := r.settle(ctx); err != nil {
+	r := &run{Options: o, fleet: fleet, selfStalls: newSelfStallCounter(), configVersion: 1}
+	if err := r.waitReady(ctx); err != nil {
 		return Result{}, err
 	}
-	r.underFaults(ctx)
-	r.heal()
-	clock.Sleep(ctx, healQuiet)
-	if err := r.settle(ctx); err != nil {
-		r.breach("recovery", "", err.Error())
+	r.runWithFaults(ctx)
+	r.clearFaults()
+	clock.Sleep(ctx, recoveryGrace)
+	if err := r.waitReady(ctx); err != nil {
+		r.addBreach("recovery", "", err.Error())
 	} else {
-		r.checkServed(ctx)
-		r.checkConfiguration(ctx)
+		r.checkRecovery(ctx)
+		r.checkConfigVersions(ctx)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Result{Seed: o.Seed, Faults: r.faults, Jobs: r.tally, Breaches: append(r.broken, fleet.Checker.Breaches()...)}, nil
+	return Result{Seed: o.Seed, Faults: r.faults, Jobs: r.jobCounts, Breaches: append(r.breaches, fleet.Checker.Breaches()...)}, nil
 }
 
-// settle waits until every entry is ready.
-func (r *run) settle(ctx context.Context) error {
-	until := time.Now().Add(settleWait)
+// waitReady waits until every entry is ready; it returns an error after readyTimeout.
+func (r *run) waitReady(ctx context.Context) error {
+	deadline := time.Now().Add(readyTimeout)
 	for i := range r.Entries {
 		for r.fleet.ReadyStatus(i) != 200 {
-			if time.Now().After(until) || ctx.Err() != nil {
+			if time.Now().After(deadline) || ctx.Err() != nil {
 				return errors.Newf("entry %d is not ready", i)
 			}
 			clock.Sleep(ctx, 20*time.Millisecond)
@@ -127,40 +132,41 @@
 	return nil
 }
 
-// underFaults lets callers send and watchers look while faults come.
-func (r *run) underFaults(ctx context.Context) {
-	calling, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
+// runWithFaults runs callers and configuration watchers while faults are injected.
+func (r *run) runWithFaults(ctx context.Context) {
+	callersCtx, stop := context.WithCancel(ctx)
+	var wg sync.WaitGroup
 	for i := range r.Callers {
-		all.Go(func() { r.call(calling, i) })
+		wg.Go(func() { r.runCaller(callersCtx, i) })
 	}
 	for i := range r.Entries {
-		all.Go(func() { r.watchConfiguration(calling, i) })
+		wg.Go(func() { r.watchConfigVersion(callersCtx, i) })
 	}
-	all.Go(func() { r.own.watch(calling) })
-	var standing sync.WaitGroup
-	standing.Go(func() { r.standstills(ctx) })
-	r.inject(ctx)
-	standing.Wait()
+	wg.Go(func() { r.selfStalls.watch(callersCtx) })
+	var suspensions sync.WaitGroup
+	suspensions.Go(func() { r.suspendPeriodically(ctx) })
+	r.injectFaults(ctx)
+	suspensions.Wait()
 	stop()
-	all.Wait()
+	wg.Wait()
 }
 
-// checkServed sends jobs to each entry after the faults. A refusal for load is taken
-// with the pause that it names; anything else that is not complete is a breach.
-func (r *run) checkServed(ctx context.Context) {
+// checkRecovery sends jobs to each entry after the faults. An entry may still refuse one for
+// load, so each is resent every 300 ms for up to readyTimeout; one that isn't answered complete
+// by then is a breach.
+func (r *run) checkRecovery(ctx context.Context) {
 	for e := range r.Entries {
-		for i := range checkedJobs {
+		for i := range recoveryJobsPerEntry {
 			id := fmt.Sprintf("%016x", 0xffff000000000000+uint64(e)<<16+uint64(i))
-			if reply := r.serve(ctx, e, id); reply.Status != 200 {
-				r.breach("recovery", id, fmt.Sprintf("entry %d answers %d %s", e, reply.Status, reply.Body))
+			if reply := r.sendUntilComplete(ctx, e, id); reply.Status != 200 {
+				r.addBreach("recovery", id, fmt.Sprintf("entry %d answers %d %s", e, reply.Status, reply.Body))
 			}
 		}
 	}
 }
 
-func (r *run) serve(ctx context.Context, entry int, id string) (reply standin.Reply) {
-	for until := time.Now().Add(settleWait); time.Now().Before(until); clock.Sleep(ctx, 300*time.Millisecond) {
+func (r *run) sendUntilComplete(ctx context.Context, entry int, id string) (reply standin.Reply) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); clock.Sleep(ctx, 300*time.Millisecond) {
 		reply = r.fleet.Call(ctx, "POST", r.fleet.URL(entry, "/q0/"+id), standin.JobBody(standin.Work, 3, 30), 10*time.Second)
 		if reply.Status == 200 {
 			return reply
@@ -169,13 +175,14 @@
 	return reply
 }
 
-// checkConfiguration sees that every entry has the newest configuration in the end.
-func (r *run) checkConfiguration(ctx context.Context) {
+// checkConfigVersions checks that every entry applies the newest configuration within
+// readyTimeout.
+func (r *run) checkConfigVersions(ctx context.Context) {
 	for e := range r.Entries {
-		until := time.Now().Add(settleWait)
-		for r.inForce(ctx, e, r.version) != 200 {
-			if time.Now().After(until) {
-				r.breach("configuration", "", fmt.Sprintf("entry %d does not follow version %d", e, r.version))
+		deadline := time.Now().Add(readyTimeout)
+		for r.configVersionStatus(ctx, e, r.configVersion) != 200 {
+			if time.Now().After(deadline) {
+				r.addBreach("configuration", "", fmt.Sprintf("entry %d does not follow version %d", e, r.configVersion))
 				break
 			}
 			clock.Sleep(ctx, 100*time.Millisecond)
@@ -183,22 +190,25 @@
 	}
 }
 
-// inForce asks an entry, without a relay, for the queue that only one version has.
-func (r *run) inForce(ctx context.Context, entry, version int) int {
+// configVersionStatus requests, bypassing relays, the queue that only one configuration
+// version has. It returns the HTTP status: 200 if the entry has that version in force, 0 if
+// it didn't answer.
+func (r *run) configVersionStatus(ctx context.Context, entry, version int) int {
 	return r.fleet.Call(ctx, "GET", r.fleet.DirectURL(entry, fmt.Sprintf("/v%d/", version)), "", time.Second).Status
 }
 
-func (r *run) breach(what, task, detail string) {
+func (r *run) addBreach(invariant, subject, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, standin.Breach{Invariant: what, Subject: task, Detail: detail})
+	r.breaches = append(r.breaches, standin.Breach{Invariant: invariant, Subject: subject, Detail: detail})
 }
 
-func (r *run) count(change func(*JobCounts)) {
+func (r *run) updateCounts(change func(*JobCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.tally)
+	change(&r.jobCounts)
 }
 
-// random returns a generator of its own for a part of the run.
-func (r *run) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(r.Seed, part)) }
+// newRand returns the random generator for one part of the run, so that parts don't affect
+// each other's draws.
+func (r *run) newRand(part uint64) *rand.Rand { return rand.New(rand.NewPCG(r.Seed, part)) }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,8 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// seeds are played in CI: some of the usual kind, and each that ever failed, with a line
-// on the cause.
+// seeds are run in CI: some ordinary ones, and each that has ever failed, with its cause.
 var seeds = []uint64{
 	1, // two sessions of one runner with one entry
 	2,
@@ -18,13 +17,13 @@
 	4,
 }
 
-// seedDuration is for how long each seed's faults go on: a minute in all.
+// seedDuration is the time with faults for each seed: a minute for all four.
 const seedDuration = 15 * time.Second
 
-// Processes, paths, targets and the store fail by the seed, in series that overlap, while
-// callers send jobs and send them again. A broken promise shows as a paper billed twice, a
-// "not run" that ran, an answer that never comes, or an entry that goes back to an older
-// configuration.
+// Processes, paths, targets and the store fail as drawn from the seed, with overlapping faults,
+// while callers submit and resend jobs. A violated guarantee shows as a task that runs twice at
+// the same time, and so would be billed twice, a job that ran despite the answer "not run", an
+// answer that never arrives, or an entry that returns to an older configuration.
 func TestSoak(t *testing.T) {
 	bin := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", bin+"/", "../../apps/camphorrack-dispatcher", "../../apps/camphorrack-runner").CombinedOutput()
--- a/internal/soak/standstill.go
+++ b/internal/soak/standstill.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// All processes stand still so long after each other: seldom enough for other faults
-	// to take effect between.
-	leastMoving, mostMoving = 2 * time.Second, 6 * time.Second
-	// ownStall is the pause from which the soak's own process counts as having stood
-	// still, and ownLook how often that is looked for.
-	ownStall = 100 * time.Millisecond
-	ownLook  = 20 * time.Millisecond
+	// Bounds of the intervals between suspensions of all processes, long enough for other faults
+	// to take effect between them.
+	minRunTime, maxRunTime = 2 * time.Second, 6 * time.Second
+	// selfStallThreshold is the shortest pause of the soak's own process that counts as a stall,
+	// and selfStallCheckInterval the interval of the checks for one.
+	selfStallThreshold     = 100 * time.Millisecond
+	selfStallCheckInterval = 20 * time.Millisecond
 )
 
-// standstills stops every process at a time, as a machine without processor for them
-// does, until the time for faults is over. It draws apart from the other faults, so that a
-// seed's other faults stay the same.
-func (r *run) standstills(ctx context.Context) {
-	x := r.random(2)
-	for until := time.Now().Add(r.Duration); ; {
-		clock.Sleep(ctx, between(x, leastMoving, mostMoving))
-		if time.Now().After(until) || ctx.Err() != nil {
+// suspendPeriodically suspends all processes together from time to time, as a machine that is out
+// of processor time does, until r.Duration has passed. It has a random generator of its own, so
+// that it doesn't change the other faults of a seed.
+func (r *run) suspendPeriodically(ctx context.Context) {
+	rnd := r.newRand(2)
+	for deadline := time.Now().Add(r.Duration); ; {
+		clock.Sleep(ctx, between(rnd, minRunTime, maxRunTime))
+		if time.Now().After(deadline) || ctx.Err() != nil {
 			return
 		}
-		lasting := between(x, leastLast, mostLast)
-		fmt.Fprintf(r.Out, "%s all processes stand still for %s\n", time.Now().Format(time.StampMilli), lasting.Round(time.Millisecond))
+		duration := between(rnd, minFaultDuration, maxFaultDuration)
+		fmt.Fprintf(r.Out, "%s all processes stand still for %s\n", time.Now().Format(time.StampMilli), duration.Round(time.Millisecond))
 		resume := r.pauseAll()
-		clock.Sleep(ctx, lasting)
+		clock.Sleep(ctx, duration)
 		resume()
 	}
 }
 
-// pauseAll pauses every process that no other fault has.
+// pauseAll pauses every process that no other fault has, and returns the function that resumes
+// them.
 func (r *run) pauseAll() (resume func()) {
-	var paused []*slot
-	for _, p := range append(entries(r), runners(r)...) {
+	var paused []*lockableProcess
+	for _, p := range append(entryProcesses(r), runnerProcesses(r)...) {
 		if p.mu.TryLock() {
 			p.Signal(syscall.SIGSTOP)
 			paused = append(paused, p)
@@ -55,28 +56,30 @@
 	}
 }
 
-// ownStalls adds up the time in which the soak's own process stood still: an answer that
-// it did not look at was not held by an entry.
-type ownStalls struct {
+// selfStallCounter adds up the time in which the soak's own process was stalled. An answer that
+// it couldn't read in that time was not held by an entry. It is safe for concurrent use.
+type selfStallCounter struct {
 	mu    sync.Mutex
 	stall *clock.StallDetector
 	sum   time.Duration
 }
 
-func newOwnStalls() *ownStalls { return &ownStalls{stall: clock.NewStallDetector(ownStall)} }
+func newSelfStallCounter() *selfStallCounter {
+	return &selfStallCounter{stall: clock.NewStallDetector(selfStallThreshold)}
+}
 
-// total returns the time up to now.
-func (o *ownStalls) total() time.Duration {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.sum += o.stall.Check()
-	return o.sum
+// total returns the stalled time up to now.
+func (c *selfStallCounter) total() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sum += c.stall.Check()
+	return c.sum
 }
 
-// watch looks often enough for total to miss nothing, until the context ends.
-func (o *ownStalls) watch(ctx context.Context) {
+// watch calls total often enough to miss no stall, until the context ends.
+func (c *selfStallCounter) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.total()
-		clock.Sleep(ctx, ownLook)
+		c.total()
+		clock.Sleep(ctx, selfStallCheckInterval)
 	}
 }
--- a/internal/soak/standstill_test.go
+++ b/internal/soak/standstill_test.go
@@ -7,11 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against an entry being said to have held an answer while the soak itself stood still.
-func TestOwnStandstillIsCounted(t *testing.T) {
+// Guards against counting time in which the soak's own process was stalled as time for which an
+// entry held an answer.
+func TestSelfStallIsCounted(t *testing.T) {
 	g := NewWithT(t)
-	own := newOwnStalls()
-	before := own.total()
-	time.Sleep(2 * ownStall)
-	g.Expect(own.total() - before).To(BeNumerically(">=", 2*ownStall))
+	counter := newSelfStallCounter()
+	before := counter.total()
+	time.Sleep(2 * selfStallThreshold)
+	g.Expect(counter.total() - before).To(BeNumerically(">=", 2*selfStallThreshold))
 }
