--- a/internal/wire/leased.go
+++ b/internal/wire/leased.go
@@ -61,7 +61,7 @@
 	NotRunRecalled       NotRunReason = 1
 	NotRunExpired        NotRunReason = 2  // it was queued for longer than MaxWaitMs
 	NotRunLeaving        NotRunReason = 3  // the target or the agent accepts no new work
-	NotRunDown           NotRunReason = 4  // the target does not respond
+	NotRunDown           NotRunReason = 4  // the target is unknown, unresponsive, stalled, or has ended
 	NotRunRejected       NotRunReason = 5  // the target rejected the start
 	NotRunStale          NotRunReason = 6  // its run number is below that of an earlier start
 	NotRunTooLarge       NotRunReason = 7  // its demand exceeds the target's capacity
@@ -101,10 +101,12 @@
 	Free        job.Demand                    `cbor:"2,keyasint"`
 	WaitMs      [len(SlackHorizonsMs)]float64 `cbor:"3,keyasint"`           // predicted queue wait of a typical task, by SlackHorizonsMs
 	Speed       float64                       `cbor:"4,keyasint"`           // measured; 1 if tasks take their estimated time
-	FailureRate float64                       `cbor:"5,keyasint,omitempty"` // exponentially weighted failure rate of runs, 0 to 1
+	FailureRate float64                       `cbor:"5,keyasint,omitempty"` // exponentially weighted rate of failed runs and rejected starts, 0 to 1
 	Leaving     bool                          `cbor:"6,keyasint,omitempty"`
-	Down        bool                          `cbor:"7,keyasint,omitempty"` // the target does not respond
-	Rejecting   bool                          `cbor:"8,keyasint,omitempty"` // it rejects starts; running tasks continue
+	Down        bool                          `cbor:"7,keyasint,omitempty"` // the target is unknown or does not respond
+	// Rejecting states that the target gets no new work for a short period, because it has
+	// rejected a start or most of its tasks are stalled. Running tasks continue.
+	Rejecting bool `cbor:"8,keyasint,omitempty"`
 }
 
 // ConfigNote distributes the operator's configuration between processes. A process
@@ -127,7 +129,7 @@
 	return &n
 }
 
-// TaskRef identifies a task.
+// TaskRef identifies a task: the one with the given index in a step of a job.
 type TaskRef struct {
 	Job   string `cbor:"1,keyasint"`
 	Step  int    `cbor:"2,keyasint,omitempty"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -104,7 +104,7 @@
 	ReasonNeverSeen         Reason = 3 // queried before its start arrived; refused from then on
 	ReasonLeaving           Reason = 4
 	ReasonTargetUnavailable Reason = 5 // the target could not be called, or rejected the task
-	ReasonStale             Reason = 6 // its number is below the owner's ToAgent.Settled
+	ReasonStale             Reason = 6 // its number is not above that of an earlier start or query, or is settled
 )
 
 // Report reports the state of an attempt to its owner. A final report is repeated on
