--- a/internal/session/conn.go
+++ b/internal/session/conn.go
@@ -178,7 +178,7 @@
 		return err
 	}
 	// A write blocks once the socket buffers of both hosts are full, which under load is
-	// the first sign of a loss of connectivity.
+	// the first sign of a loss of connectivity. The write deadline detects it.
 	if err := c.ws.SetWriteDeadline(time.Now().Add(c.options.SilenceTimeout)); err != nil {
 		return errors.Wrap(err, "set the write deadline")
 	}
