--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -42,8 +42,9 @@
 	// LongPollTimeout is the longest wait for an answer that one call requests. With a longer
 	// one, a connection that went silent would only be noticed after that wait.
 	LongPollTimeout = 500 * time.Millisecond
-	// pastDeadlinePollTimeout replaces LongPollTimeout past the deadline. It is not zero, so
-	// that an owner whose clock is behind is not polled in a busy loop.
+	// pastDeadlinePollTimeout is the limit instead of LongPollTimeout from MaxClockSkew after
+	// the deadline. It is not zero, so that an owner whose clock is behind is not polled in a
+	// busy loop.
 	pastDeadlinePollTimeout = 100 * time.Millisecond
 	// replyGrace is how long a connection may be silent beyond the requested wait. Wait and
 	// grace together stay under 1.5 s, and twice the grace fits into the 2 s that a client
@@ -176,8 +177,9 @@
 	return reply, err
 }
 
-// pollTimeout returns how long the owner may delay its reply to the next call. Past the deadline
-// the owner has a final answer, and a longer wait would only delay the detection of its silence.
+// pollTimeout returns how long the owner may delay its reply to the next call. By MaxClockSkew
+// after the deadline the owner has a final answer, and a longer wait would only delay the
+// detection of its silence.
 func (f *Forwarder) pollTimeout(r Request, until time.Time) time.Duration {
 	now := f.options.Clock.Now()
 	timeout := f.options.LongPollTimeout
