--- a/internal/dispatcher/answer.go
+++ b/internal/dispatcher/answer.go
@@ -61,9 +61,9 @@
 // job look overdue until the clock was corrected.
 func (d *Dispatcher) setDeadline(j *dispatch.Job) { j.Deadline = d.clock.Now().Add(j.Timeout) }
 
-// runOnCore runs a command on the control goroutine and waits for it. If the command queue is
-// full for queryTimeout, it logs the error and skips the command; the caller then returns the
-// same as for an unknown job.
+// runOnCore runs a command on the control goroutine and waits for it. It logs an error, which
+// means that the command queue was full for queryTimeout or that the control loop has stopped.
+// The caller then returns the same as for an unknown job.
 func (d *Dispatcher) runOnCore(command func(now time.Time, c *dispatch.Core)) {
 	if err := d.loop.Do(queryTimeout, func(now time.Time, s *state) { command(now, s.core) }); err != nil {
 		event.Log(d.log, event.JobUndecided, "error", err.Error())
--- a/internal/dispatcher/sessions.go
+++ b/internal/dispatcher/sessions.go
@@ -18,6 +18,7 @@
 	"github.com/camphorrack/camphorrack/internal/wire"
 )
 
+// configNote shortens the name in signatures.
 type configNote = wire.ConfigNote
 
 // helloError reports an invalid hello, the first frame of a runner.
@@ -156,7 +157,8 @@
 }
 
 // updateLoadInterval sends the runners the minimum time between load reports if it has changed
-// significantly.
+// significantly. It depends on the number of runners, so that reading their reports takes no more
+// than a fixed share of the entry's processor.
 func (s *sessions) updateLoadInterval(st *state) {
 	interval := reporting.Interval(s.options.ProcessorShare, len(s.conns))
 	if len(s.conns) == 0 || !reporting.SignificantChange(interval, st.loadInterval) {
