--- a/internal/runner/dialers.go
+++ b/internal/runner/dialers.go
@@ -63,10 +63,10 @@
 // for each of them, which reconnects whenever the session ends. Its methods are safe for
 // concurrent use, except for those whose caller must hold the lock.
 type dialers struct {
-	runner *Runner
-	ctx    context.Context
-	stop   context.CancelFunc
-	done   sync.WaitGroup
+	runner     *Runner
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
 	mu               sync.Mutex
 	entries          map[string]*entryAddr
@@ -201,7 +201,7 @@
 		return
 	}
 	d.selectionPending = true
-	d.done.Go(func() {
+	d.goroutines.Go(func() {
 		clock.Sleep(d.ctx, selectionDelay)
 		d.applySelection()
 	})
@@ -260,7 +260,7 @@
 	ctx, cancel := context.WithCancel(d.ctx)
 	e.cancel = cancel
 	event.Log(d.runner.log, event.EntryChosen, "entry", e.addr, "data_centre", e.dataCentre, "known", len(d.entries))
-	d.done.Go(func() { d.maintainSession(ctx, e) })
+	d.goroutines.Go(func() { d.maintainSession(ctx, e) })
 }
 
 // retireSession closes the session with an entry after the work that the entry has on the
@@ -360,5 +360,5 @@
 	d.mu.Lock()
 	d.stop()
 	d.mu.Unlock()
-	d.done.Wait()
+	d.goroutines.Wait()
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -242,7 +242,8 @@
 	r.dialers.updateRecord(e.Key, record.Addr, record.DataCentre)
 }
 
-// Announce handles an announcement of the target and stores it if it is worth storing.
+// Announce handles an announcement of the target. It stores a new incarnation, a departure or a
+// changed capacity for the next start of the daemon, and requests a renewal of the lease.
 func (r *Runner) Announce(a runs.Announcement) {
 	r.enqueue(func(now time.Time, s *state) {
 		if s.table.Announce(now, a) {
