--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -21,8 +21,8 @@
 	// only drop expired state: a hundred wake-ups a second cost 1 % of a core.
 	idleTickInterval = 100 * time.Millisecond
 	// maxCommands bounds the command queue of the control goroutine. At some 20 us a
-	// command, a full queue is about 80 ms of work; a longer one would only delay the
-	// decisions that ticks make further.
+	// command, a full queue is about 80 ms of work; a longer one would only add to the
+	// delay of the decisions that ticks make.
 	maxCommands = 4096
 	// maxBatch bounds the commands between two flushes, so that starts and
 	// acknowledgements don't wait for a long queue of submissions.
