--- a/internal/owner/state.go
+++ b/internal/owner/state.go
@@ -109,10 +109,10 @@
 	tasks           []liveTask
 	waiting         []int // indexes of waiting tasks, shortest first; tasks are started from the end
 	doneTasks       int
-	remainingMs     float64 // sum of the estimates of the unfinished tasks
-	mayHaveRun      bool    // a task has been sent; see provenNotRun
-	longestMs       float64 // estimate of the longest task
-	rank            int64
+	remainingMs     float64                  // sum of the estimates of the unfinished tasks
+	mayHaveRun      bool                     // a task has been sent; see provenNotRun
+	longestMs       float64                  // estimate of the longest task
+	rank            int64                    // order in the ready queue; jobs with a lower rank start first
 	queueItem       *queueing.Item[*liveJob] // in ready; nil before the first insertion
 }
 
@@ -136,8 +136,8 @@
 	expectedEnd time.Time // as predicted when it was sent
 	team        string
 	class       string
-	estimateMs  float64
-	declaredMs  int64
+	estimateMs  float64 // expected run time at speed 1
+	declaredMs  int64   // run time at speed 1 that the caller declared; 0 if unknown
 	demand      job.Demand
 }
 
@@ -156,7 +156,7 @@
 
 	// granted, spent and returned count the credits of the current connection.
 	granted, spent, returned uint64
-	avoidUntil               time.Time
+	avoidUntil               time.Time  // until then no tasks are sent; see avoidanceAfterRejection
 	drained                  bool       // by operators
 	ownerCount               int        // number of owners that share the target, including this one
 	inUse                    job.Demand // resources of this owner's open attempts
