--- a/internal/wire/leased.go
+++ b/internal/wire/leased.go
@@ -83,7 +83,7 @@
 // LeasedTarget describes one incarnation of a target.
 type LeasedTarget struct {
 	Name     string     `cbor:"1,keyasint"` // unique to the incarnation
-	Service  string     `cbor:"2,keyasint"`
+	Service  string     `cbor:"2,keyasint"` // service whose tasks it runs
 	Labels   []string   `cbor:"3,keyasint,omitempty"`
 	Capacity job.Demand `cbor:"4,keyasint"`
 	// DataCentre is announced by the target. If empty, the agent's data centre applies.
@@ -97,8 +97,8 @@
 
 // Load is the load of an agent's target, as reported to the entries.
 type Load struct {
-	LastSeq     uint64                        `cbor:"1,keyasint"` // highest order of this session that the load includes
-	Free        job.Demand                    `cbor:"2,keyasint"`
+	LastSeq     uint64                        `cbor:"1,keyasint"`           // highest order of this session that the load includes
+	Free        job.Demand                    `cbor:"2,keyasint"`           // capacity that no task uses
 	WaitMs      [len(SlackHorizonsMs)]float64 `cbor:"3,keyasint"`           // predicted queue wait of a typical task, by SlackHorizonsMs
 	Speed       float64                       `cbor:"4,keyasint"`           // measured; 1 if tasks take their estimated time
 	FailureRate float64                       `cbor:"5,keyasint,omitempty"` // exponentially weighted rate of failed runs and rejected starts, 0 to 1
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -71,8 +71,8 @@
 	Task       int        `cbor:"3,keyasint"`
 	Class      string     `cbor:"4,keyasint"`
 	Payload    []byte     `cbor:"5,keyasint,omitempty"`
-	DeadlineMs int64      `cbor:"6,keyasint"` // Unix milliseconds; the task does not start later
-	EstimateMs int64      `cbor:"7,keyasint,omitempty"`
+	DeadlineMs int64      `cbor:"6,keyasint"`           // Unix milliseconds; the task does not start later
+	EstimateMs int64      `cbor:"7,keyasint,omitempty"` // declared run time at speed 1; 0 if unknown
 	Demand     job.Demand `cbor:"8,keyasint,omitzero"`
 	Idempotent bool       `cbor:"9,keyasint,omitempty"`
 }
