--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -39,7 +39,7 @@
 	SnapshotInterval time.Duration      // longest time between snapshots of the configuration; at most half of the log's retention
 	MaxTimeout       time.Duration
 	MaxJobs          int
-	LogPlacements    int // one task placement in so many is logged; 0: none
+	LogPlacements    int // one task placement in LogPlacements is logged; 0: none
 	LogLevel         int
 	Policy           string
 	CrashOnBreach    bool
