--- a/internal/agent/entries.go
+++ b/internal/agent/entries.go
@@ -44,7 +44,8 @@
 	retiring     bool      // its session is to be closed as soon as that is safe
 }
 
-// down reports whether a substitute should take the place of the entry at now.
+// down reports whether a substitute should take the place of the entry at now. It also clears
+// failingSince once the session is stable. The caller holds dialers.mu.
 func (e *entryAddr) down(now time.Time) bool {
 	if e.session != nil && now.Sub(e.openedAt) > stableAfter {
 		e.failingSince = time.Time{}
