--- a/internal/attempt/settler.go
+++ b/internal/attempt/settler.go
@@ -103,6 +103,8 @@
 	}
 }
 
+// settleOne drops the record of one attempt below settledBelow. A waiting one is marked as not
+// run first; for a running one, the record is dropped without a report when the call ends.
 func (s settler) settleOne(o *owner, seq uint64) {
 	a := o.attempts[seq]
 	if a == nil || seq >= o.settledBelow {
