--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -58,8 +58,8 @@
 	// tickInterval is how often deadlines and retries are checked. It is well below the run
 	// time of the shortest task.
 	tickInterval = 20 * time.Millisecond
-	maxCommands  = 4096
-	maxBatch     = 256
+	maxCommands  = 4096 // queued for the control goroutine
+	maxBatch     = 256  // commands between two flushes
 	// submitTimeout is how long a job may wait for room in the command queue of the control
 	// goroutine. With a longer one, jobs in the queue would be late before they are processed.
 	submitTimeout = 30 * time.Millisecond
@@ -190,6 +190,7 @@
 	return d.loop.Do(leased.MetricsTimeout, func(_ time.Time, s *state) { d.metrics.update(s.core) })
 }
 
+// listen binds the addresses of all endpoints; Start serves them.
 func (d *Dispatcher) listen() error {
 	sessionRouter := gin.New()
 	sessionRouter.GET(session.Path, d.sessions.serve)
