--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,10 @@
 GOFLAGS += -trimpath
 export GOFLAGS
-# The seed of the randomised tests; a flag would fail in packages that have none.
+# Seed of the randomised tests. It is an environment variable because go test rejects the
+# seed flag in packages without randomised tests.
 export RAPID_SEED ?= 20261202
 
-# ARGS adds flags, such as ARGS=-keep.
+# ARGS passes further flags to the program that a target runs, such as ARGS=-keep.
 .PHONY: build check test run bench bench-short slopes
 
 build:
@@ -20,14 +21,15 @@
 run: build
 	bin/camphorrack-demo -bin bin $(ARGS)
 
-# Every scenario and policy, hours; ARGS picks, such as ARGS='-scenarios steady-0.8 -seeds 1'.
+# Runs every scenario under every policy, which takes hours. ARGS selects a part of them,
+# such as ARGS='-scenarios steady-0.8 -seeds 1'.
 bench: build
 	bin/camphorrack-bench -bin bin $(ARGS)
 
-# Under two minutes: tasks five times shorter, against the best baseline.
+# Takes under two minutes: tasks are five times shorter, and only the best baseline is compared.
 bench-short: build
 	bin/camphorrack-bench -bin bin -scenarios short -policies first-come,least-work -seeds 1 -duration 10s -scale 0.2 -parallel 2 -wide=false $(ARGS)
 
-# The slopes behind docs/CAPACITY.md, each under the command that gave it.
+# Measures the cost slopes that docs/CAPACITY.md uses; prints each after its command.
 slopes: build
 	scripts/slopes.sh
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -1,18 +1,19 @@
 #!/usr/bin/env bash
-# Switches off one mechanism at a time, each on a copy of the last commit, and plays the
-# fixed days of a deployment with it.
+# Ablation study: disables one mechanism at a time in a copy of the last commit and runs the
+# fixed set of days of scripts/days.sh with each build.
 #
 #   scripts/ablate.sh BENCH SITE OUT [NAME...]
 #
-# Without names every mechanism of the table below. OUT/whole has the days with all
-# mechanisms; each line that is printed is the difference to it. The journal entries of the
-# plays are in OUT/journal.
+# BENCH and SITE are as in scripts/days.sh. NAME selects mechanisms of the table below;
+# without any, the baseline with all mechanisms runs first, then every mechanism. The reports
+# go to OUT/NAME, those of the baseline to OUT/whole. Each printed line is the difference
+# between a run and the baseline. The journal entries of the runs go to OUT/journal.
 set -euo pipefail
 bench=$1 site=$2 out=$3
 shift 3
 scripts=$(cd "$(dirname "$0")" && pwd)
 
-# name | file | edit that switches it off
+# Prints the mechanisms: name | file | sed script that disables it
 table() {
 	cat <<'TABLE'
 corrected-estimates|internal/dispatch/intake.go|s/j = c.calibrated(submitted)/_ = c.calibrated/
@@ -46,7 +47,7 @@
 	fi
 }
 
-# One copy serves all, so that only what an edit touches is built again.
+# All runs share one copy, so that only the packages that an edit touches are rebuilt.
 copy=$(mktemp -d)
 trap 'rm -rf "$copy"' EXIT
 git clone -q "$scripts/.." "$copy/tree"
--- a/scripts/best.py
+++ b/scripts/best.py
@@ -1,15 +1,16 @@
 #!/usr/bin/env python3
-"""Prints, for each played day of a folder, what it was worth and the best that could be had.
+"""Prints, for each day in a directory of reports, its score and an upper bound of that score.
 
     best.py OUT SITE
 
-While no host has power, nobody is served; nor is who was being served when it went or comes
-before the first process is up. Those seconds are taken out of the whole day, of the windows
-of two seconds and of the worst kind of request; all else is taken as served in time. Prices
-are the day's own. The real best is lower: targets that are missing, bursts above what they
-can do, and callers that come again at once are taken as served. Where processes are killed
-and hosts stay up, callers are turned away at once and come again in time; such days have no
-bound here and are left out.
+No request is served while all hosts are without power. Requests that were in progress when the
+power failed, or that arrive before the first process is up, are lost too. The bound subtracts
+these seconds from the whole day, from the windows of two seconds and from the worst class of
+request, and counts every other request as served in time. The prices are those in the day's
+report. The achievable score is lower, because the bound counts requests as served despite
+missing targets, bursts beyond the targets' capacity and callers that retry at once. Days whose
+closing kills the processes but leaves the hosts up are omitted: their callers are refused at
+once and retry in time, so this bound doesn't apply.
 """
 import json
 import pathlib
@@ -17,15 +18,19 @@
 import sys
 
 WINDOW_S = 2.0
-# How long before the loss a request must have come to be done, and how long after the hosts
-# are back the first process answers: the time of a usual job, and of a start.
+# A request that arrives less than UNDER_WAY_S before the power failure doesn't finish; this is
+# the duration of a typical job. The first process answers START_S after the hosts are back;
+# this is its start-up time.
 UNDER_WAY_S = 0.2
 START_S = 0.1
 CLOSING = re.compile(r"closing \(power_off_all\)")
 
 
 def outages(report, text):
-    """Returns the spans in which nobody can be served, from the day's account in words."""
+    """Returns the spans, in seconds of the day, in which no request can be served.
+
+    text is the output of the bench for the day.
+    """
     spans = []
     for line in text.splitlines():
         if CLOSING.search(line):
@@ -50,7 +55,7 @@
 
 
 def down_s(site_text, day):
-    """Returns how long the closing of a standard day lasts, from the site file."""
+    """Returns the downtime in seconds at the closing of a day of the site file, None if it has none."""
     block = site_text.split(f'name = "{day}"', 1)
     match = re.search(r"closing = .*?down_s = ([0-9.]+)", block[1]) if len(block) > 1 else None
     return float(match.group(1)) if match else None
--- a/scripts/days.py
+++ b/scripts/days.py
@@ -1,7 +1,10 @@
 #!/usr/bin/env python3
-"""Prints the worth of played days, and beside it that of another set of the same days.
+"""Prints the score of each day in a directory of reports, and its difference to a baseline.
 
     days.py OUT [BASE]
+
+OUT and BASE are directories of reports. With BASE, the last line has the mean difference of the
+days that both contain; scripts/ablate.sh reads that line.
 """
 import json
 import math
@@ -10,12 +13,12 @@
 
 
 def read(folder):
-    """Returns the reports of a folder by the day's name."""
+    """Returns the reports of a directory, keyed by the name of the day."""
     return {f.stem: json.loads(f.read_text()) for f in sorted(pathlib.Path(folder).glob("*.json"))}
 
 
 def spread(values):
-    """Returns the mean and its standard error."""
+    """Returns the mean and its standard error, which is 0 for fewer than two values."""
     mean = sum(values) / len(values)
     if len(values) < 2:
         return mean, 0.0
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Plays a fixed set of days of a deployment and prints what each was worth, so that two
-# versions can be compared day by day.
+# Runs a fixed set of days (scenarios of the users' bench) on a deployment and prints the
+# score of each, so that two versions can be compared day by day.
 #
 #   scripts/days.sh BENCH SITE OUT [WHY]
 #
-# BENCH is the users' bench, SITE a site file, OUT a folder for the reports. The set: the
-# site's days with trouble and of high load, eight mixes of its troubles and this
-# repository's day files, each with a fixed seed. DAYS, where set, is played in its
-# place: lines such as "scale-1" or "mix --seed 3". JOBS bounds the days at a time.
+# BENCH is the users' bench, SITE a site file, OUT a directory for the reports, WHY the reason
+# that the bench records. The set consists of the site's days with faults and of high load,
+# eight mixes of its faults and the day files of this repository; mixes and day files have
+# fixed seeds. DAYS, if set, replaces the set, one day per line, such as "scale-1" or
+# "mix --seed 3". JOBS limits how many days run concurrently (default 6).
 set -euo pipefail
 bench=$1 site=$2 out=$3 why=${4:-}
 here=$(dirname "$0")
@@ -31,7 +32,8 @@
 play() {
 	local name
 	name=$(basename "${1%% *}" .toml)$(sed -n 's/.*--seed \([0-9]*\).*/-\1/p' <<<"$1")
-	# A day that doesn't fit the site leaves no report.
+	# The bench fails for a day that doesn't fit the site and writes no report; the other days
+	# still run.
 	# shellcheck disable=SC2086
 	"$bench" run "$site" $1 --no-cpu --why "$why" --report "$out/$name.json" >"$out/$name.txt" 2>&1 || true
 }
--- a/scripts/overload.py
+++ b/scripts/overload.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Multiplies the traffic of a site file, and shows what the kinds of requests got.
+"""Multiplies the traffic of a site file, and prints the outcomes of each class of request.
 
-    overload.py multiply SITE FACTOR [LINK_MBPS]    the changed site file, on standard output
-    overload.py show OUT                            the plays of a folder
+    overload.py multiply SITE FACTOR [LINK_MBPS]    writes the changed site file to standard output
+    overload.py show OUT                            prints the results in a directory of reports
 """
 import json
 import pathlib
@@ -23,7 +23,7 @@
 
 
 def kinds(text):
-    """Returns the rows of the table of kinds of requests."""
+    """Returns the rows of the table of request classes in the bench's output."""
     rows, inside = [], False
     for line in text.splitlines():
         if line.startswith("class "):
--- a/scripts/overload.sh
+++ b/scripts/overload.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Plays days of a deployment with its traffic multiplied, and prints what each kind of request
-# got, so that two versions can be compared under overload.
+# Runs days of a deployment with its traffic multiplied by FACTOR and prints the outcomes of
+# each class of request, so that two versions can be compared under overload.
 #
 #   scripts/overload.sh BENCH SITE OUT FACTOR [WHY]
 #
-# The multiplied copy of the site file lies in OUT. DAYS are the plays, a line each, with the
-# bench's own flags; without DAYS the two days of high load, whole and on the small twin.
-# JOBS bounds the plays at a time, LINK_MBPS replaces the width of the entry hosts' links.
+# BENCH, SITE, OUT and WHY are as in scripts/days.sh. The changed copy of the site file is
+# written to OUT/site. DAYS lists the days to run, one per line, each with flags of the bench;
+# by default scale-1, and the small variants of scale-1 and scale-2. JOBS limits how many days
+# run concurrently (default 3). LINK_MBPS replaces the bandwidth of the entry hosts' links.
 set -euo pipefail
 bench=$1 site=$2 out=$3 factor=$4 why=${5:-}
 here=$(dirname "$0")
@@ -20,7 +21,8 @@
 play() {
 	local name
 	name=$(tr -s ' ' '-' <<<"${1//--/}")
-	# A day that broke a rule ends with an error; its report says so.
+	# The bench fails for a day that broke a rule and states so in the report; the other days
+	# still run.
 	# shellcheck disable=SC2086
 	"$bench" run "$multiplied" $1 --no-cpu --why "$why" --report "$out/$name.json" >"$out/$name.txt" 2>&1 || true
 }
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the slopes that docs/CAPACITY.md works with and prints each under the
-# command that gave it. Expects built programs in bin/. Takes about five minutes.
+# Measures the cost slopes that docs/CAPACITY.md uses and prints each after the command
+# that measured it. Requires the built programs in bin/. Takes about five minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -13,7 +13,7 @@
 }
 trap finish EXIT
 
-# start_entry NAME starts an entry on a free port and prints its address.
+# start_entry NAME starts an entry on a free port and stores its address in addr.
 start_entry() {
 	CAMPHORRACK_KEY=$key bin/camphorrack-entry -listen 127.0.0.1:0 -max-jobs 10000000 -log-level 0 2>"$work/$1" &
 	pids+=($!)
@@ -46,8 +46,8 @@
 start_entry first; first=$addr
 start_entry second; second=$addr
 export CAMPHORRACK_BENCH_ENTRIES="$first,$second"
-echo "with CAMPHORRACK_BENCH_ENTRIES naming two entries on their own:"
+echo "with CAMPHORRACK_BENCH_ENTRIES set to two entries in separate processes:"
 bench internal/entry Request -benchtime 3s
 bench internal/entry IdleAgents -benchtime 10x
-echo "resident memory of the entries after that, in KiB:"
+echo "resident memory of the entries after these benchmarks, in KiB:"
 for pid in "${pids[@]}"; do sed -n 's/^VmRSS:[[:space:]]*\([0-9]*\) kB/\1/p' "/proc/$pid/status"; done
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Runs every test under the race detector, but for those that KNOWN-RED.txt lists as
+# Runs every test under the race detector, except those that KNOWN-RED.txt lists as
 #   go test -race ./PACKAGE -ginkgo.focus "NAME" | ...
-# which are printed and passed over.
+# These known failures are printed and skipped.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-# A line for each listed test: its package, a tab, its name.
+# One line per listed test: its package, a tab, its name.
 listed=$(sed -n 's/^go test -race \.\/\([^ ]*\) -ginkgo\.focus "\([^"]*\)".*/\1\t\2/p' KNOWN-RED.txt)
 
 packages_without_listed() {
