--- a/internal/localfleet/membership_test.go
+++ b/internal/localfleet/membership_test.go
@@ -93,7 +93,7 @@
 
 	agent := f.agents[1]
 	began = time.Now()
-	f.entries[0].Kill() // in the agent's data centre, so the agent has a session with it
+	f.entries[0].Kill() // an agent has a session with every entry of its own data centre
 	f.waitFor("the agent to lose a session", func() bool { return f.metric(agent, "entries.connected") == 3 })
 	f.waitFor("a session with a substitute entry", func() bool { return f.metric(agent, "entries.connected") == 4 })
 	durations["substitute-ms"] = time.Since(began)
@@ -132,7 +132,7 @@
 }
 
 // generateLoad submits jobs to every entry until the context is done. Their outcomes don't matter
-// here. The wait group ends after the last submission.
+// here. The wait group is done after the last answer.
 func (f *membershipFleet) generateLoad(ctx context.Context) *sync.WaitGroup {
 	payload := fmt.Appendf(nil, `{"run_ms":%d,"echo":"x"}`, runMs)
 	var loops sync.WaitGroup
--- a/internal/localfleet/process.go
+++ b/internal/localfleet/process.go
@@ -22,7 +22,7 @@
 // Limits for processes. The timeouts don't count time in which the process is paused.
 const (
 	startTimeout    = 10 * time.Second
-	stopTimeout     = 5 * time.Second // graceful shutdown of a process without work; then it is killed
+	stopTimeout     = 5 * time.Second // for a graceful shutdown without work in progress; then the process is killed
 	logTailLines    = 20              // last log lines that are kept to report failures
 	maxLogLineBytes = 1 << 20
 )
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, &StartError{Name: name, Cause: err}
 	}
-	cmd.Stdout = cmd.Stderr // daemons write logs and start-up errors to different ones of the two
+	cmd.Stdout = cmd.Stderr // daemons write their log to one of them and start-up errors to the other
 	sink, err := f.openLog(name)
 	if err != nil {
 		return nil, &StartError{Name: name, Cause: err}
