--- a/internal/fleet/callers_test.go
+++ b/internal/fleet/callers_test.go
@@ -148,8 +148,8 @@
 }
 
 // checkExpired checks a fault.AnswerExpired: the answer must have been delivered and must no longer
-// be available. The first condition holds only until the owner removes the id, which is
-// owner.AnswerRetention after the deadline.
+// be available. The first condition is checked only until owner.AnswerRetention after the
+// deadline, when the owner removes the id and no longer knows whether it was answered.
 func (sim *simulation) checkExpired(sub *submission) {
 	id := sub.request.ID
 	if sim.now.Before(id.Deadline.Add(job.AnswerGrace)) {
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -170,8 +170,9 @@
 	}
 }
 
-// drawProgress runs the fleet without faults for a few rounds: all frames that can be delivered
-// are, and running tasks succeed.
+// drawProgress lets the fleet work for a few rounds without new faults: all frames that can be
+// delivered are, and running tasks succeed. Connections that are cut and processes that are frozen
+// stay so.
 func (sim *simulation) drawProgress(t *rapid.T) {
 	for range rapid.IntRange(1, 3).Draw(t, "rounds") {
 		sim.deliverAll()
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -50,13 +50,13 @@
 
 	submissions     []*submission
 	byID            map[string]*submission
-	startCounts     map[string]int        // "job/task" -> starts at targets
+	startCounts     map[string]int        // "job/task" -> starts at targets, less those reported as not run
 	taskByAttempt   map[attemptID]taskRef // the task that each attempt has started
 	successReported map[taskRef]bool      // tasks whose success has been reported to the owner
 	counts          scheduleCounts
 }
 
-// entry is one process of an entry. After a restart another one has its index.
+// entry is one process of an entry. A restart replaces it by another with the same index.
 type entry struct {
 	simulation   *simulation
 	index        int
@@ -66,7 +66,8 @@
 	heldRequests []func() // requests that arrived while it was frozen
 }
 
-// agent is one process of an agent, with its target. After a restart another one has its index.
+// agent is one process of an agent, with its target. A restart replaces it by another with the
+// same index.
 type agent struct {
 	simulation   *simulation
 	index        int
