--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -63,12 +63,12 @@
 func (r *Relay) BlackholeOpen(up, down bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.conns {
+	for c := range r.conns {
 		if up {
-			p.dropUp.Store(true)
+			c.dropUp.Store(true)
 		}
 		if down {
-			p.dropDown.Store(true)
+			c.dropDown.Store(true)
 		}
 	}
 	return len(r.conns)
@@ -89,11 +89,11 @@
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.conns {
-		if tcp, ok := p.clientConn.(*net.TCPConn); ok {
+	for c := range r.conns {
+		if tcp, ok := c.clientConn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // with a linger time of 0, Close sends a reset
 		}
-		p.close()
+		c.close()
 	}
 }
 
@@ -102,8 +102,8 @@
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.conns {
-		p.close()
+	for c := range r.conns {
+		c.close()
 	}
 }
 
@@ -126,25 +126,25 @@
 		_ = client.Close()
 		return
 	}
-	p := &proxiedConn{clientConn: client, targetConn: server}
+	c := &proxiedConn{clientConn: client, targetConn: server}
 	r.mu.Lock()
-	p.dropUp.Store(r.blackholeNew)
-	p.dropDown.Store(r.blackholeNew)
-	r.conns[p] = true
+	c.dropUp.Store(r.blackholeNew)
+	c.dropDown.Store(r.blackholeNew)
+	r.conns[c] = true
 	r.mu.Unlock()
 	var streams sync.WaitGroup
-	streams.Go(func() { copyStream(client, server, &p.dropUp, &r.delay) })
-	streams.Go(func() { copyStream(server, client, &p.dropDown, &r.delay) })
+	streams.Go(func() { copyStream(client, server, &c.dropUp, &r.delay) })
+	streams.Go(func() { copyStream(server, client, &c.dropDown, &r.delay) })
 	streams.Wait()
-	p.close()
+	c.close()
 	r.mu.Lock()
-	delete(r.conns, p)
+	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
-func (p *proxiedConn) close() {
-	_ = p.clientConn.Close()
-	_ = p.targetConn.Close()
+func (c *proxiedConn) close() {
+	_ = c.clientConn.Close()
+	_ = c.targetConn.Close()
 }
 
 // copyStream forwards data from one connection to the other until either is closed. While
--- a/internal/standin/target/options.go
+++ b/internal/standin/target/options.go
@@ -12,11 +12,11 @@
 	Listen        string
 	Agent         string // address of the agent to announce to
 	Name          string
-	Classes       string // comma separated
-	Slots         int
-	Speed         float64
+	Classes       string  // comma separated
+	Slots         int     // maximum number of running tasks
+	Speed         float64 // divides the tasks' run times
 	DeclaredSpeed float64 // announced speed; 0 means Speed
-	Connections   int
+	Connections   int     // maximum that the agent may open
 	CPUMilli      int
 	MemoryMB      int
 	Accelerators  int
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -21,8 +21,9 @@
 )
 
 const (
-	// shutdownQuietPeriod is the time without a start after which a draining target stops: the
-	// agent may still send starts that were under way when it withdrew the slots.
+	// shutdownQuietPeriod is the time without a start after which a draining target stops. The
+	// agent recalls its credits when the target is leaving, but still runs starts that entries
+	// sent before the recall reached them.
 	shutdownQuietPeriod  = 2 * time.Second
 	shutdownPollInterval = 20 * time.Millisecond
 	// closeTimeout bounds the shutdown of the HTTP server.
