--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,8 +1,9 @@
 // Package bench measures the scheduling policies with real processes on the loopback
 // interface: entries, agents and stand-in targets, sized like the deployments of both first
 // users (ten targets of 8 slots; the fastest is three times as fast as the slowest). Several
-// callers submit jobs through every entry. Results come from what the callers and the
-// processes show; the system's own counters provide only the number of start messages.
+// callers submit jobs through every entry. Response times and outcomes are measured at the
+// callers, and CPU times are read from /proc; the system's own counters provide only the
+// number of start messages.
 //
 // The load is open-loop: jobs arrive at scheduled times whether or not earlier ones were
 // answered. A closed loop would slow down with the system and so hide queueing.
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -47,8 +47,8 @@
 
 	It("applies the estimate error of the scenario", func() {
 		r := rand.New(rand.NewPCG(1, 2))
-		w := newJobSpec(r, scenario("steady-0.8"), 1)
-		Expect(float64(w.submission.Tasks[0].EstimateMs)).To(BeNumerically("<=", w.longestMs+1))
+		spec := newJobSpec(r, scenario("steady-0.8"), 1)
+		Expect(float64(spec.submission.Tasks[0].EstimateMs)).To(BeNumerically("<=", spec.longestMs+1))
 		Expect(TenfoldClassError.estimateMs(r, 0, 500)).To(BeEquivalentTo(50))
 		Expect(TenfoldClassError.estimateMs(r, 2, 500)).To(BeEquivalentTo(5000))
 	})
@@ -56,7 +56,7 @@
 	// Each outcome must be counted once: a policy that drops jobs would otherwise look fast.
 	It("counts every outcome of a job", func() {
 		s := scenario("steady-0.8")
-		w := jobSpec{submission: &job.Submission{Team: "t", Tasks: make([]job.Task, 1)}, totalMs: 300, longestMs: 300}
+		spec := jobSpec{submission: &job.Submission{Team: "t", Tasks: make([]job.Task, 1)}, totalMs: 300, longestMs: 300}
 		outcomes := []*submittedJob{
 			{answer: &job.Answer{State: job.Complete, Results: [][]byte{[]byte("0")}}, responseTime: 202 * time.Millisecond, endedAt: 0.5},
 			{answer: &job.Answer{State: job.Complete, Results: [][]byte{[]byte("1")}}, responseTime: time.Second, endedAt: 0.05},
@@ -69,7 +69,7 @@
 		r := newResult()
 		r.windowMs = 1000
 		for _, outcome := range outcomes {
-			outcome.spec, outcome.measured = w, true
+			outcome.spec, outcome.measured = spec, true
 			r.add(s, outcome, 1)
 		}
 		r.addMessages(owner.Counts{Starts: 4})
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -23,7 +23,7 @@
 
 	readyTimeout      = 15 * time.Second
 	readyPollInterval = 20 * time.Millisecond
-	// settleTime lets the time after startup pass in which entries admit every job.
+	// settleTime is longer than the second after startup in which entries admit every job.
 	settleTime = 1500 * time.Millisecond
 	sharedKey  = "bench-key-of-loopback-only"
 )
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -82,21 +82,21 @@
 // newJobSpec returns a random job. All run times are multiplied by scale.
 func newJobSpec(r *rand.Rand, s Scenario, scale float64) jobSpec {
 	class := r.IntN(len(classes))
-	w := jobSpec{submission: &job.Submission{Team: s.drawTeam(r), Class: classes[class]}}
+	spec := jobSpec{submission: &job.Submission{Team: s.drawTeam(r), Class: classes[class]}}
 	for n := range jobSizes[r.IntN(len(jobSizes))] {
 		ms := s.Mix.drawTaskMs(r) * scale
-		w.totalMs += ms
-		w.longestMs = max(w.longestMs, ms)
+		spec.totalMs += ms
+		spec.longestMs = max(spec.longestMs, ms)
 		// Encoding can't fail: the struct has only two plain fields.
 		payload, _ := json.Marshal(target.Workload{RunMs: ms, Echo: strconv.Itoa(n)})
-		w.submission.Tasks = append(w.submission.Tasks, job.Task{Payload: payload, EstimateMs: s.EstimateError.estimateMs(r, class, ms)})
+		spec.submission.Tasks = append(spec.submission.Tasks, job.Task{Payload: payload, EstimateMs: s.EstimateError.estimateMs(r, class, ms)})
 	}
-	return w
+	return spec
 }
 
 // matches reports whether the results are those of the job's tasks, in order.
-func (w jobSpec) matches(results [][]byte) bool {
-	if len(results) != len(w.submission.Tasks) {
+func (spec jobSpec) matches(results [][]byte) bool {
+	if len(results) != len(spec.submission.Tasks) {
 		return false
 	}
 	for n, result := range results {
