--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -223,6 +223,7 @@
 	}
 }
 
+// isolateRunner cuts a runner off from the store and from all entries.
 func isolateRunner(r *run, rnd *rand.Rand, _ time.Duration) func() {
 	i := rnd.IntN(len(r.fleet.Runners))
 	r.fleet.Store.SetMode(r.fleet.Runners[i].IP(), standin.StoreUnresponsive)
@@ -233,6 +234,7 @@
 	}
 }
 
+// isolateEntry cuts an entry off from the store, from its callers and from all runners.
 func isolateEntry(r *run, rnd *rand.Rand, _ time.Duration) func() {
 	e := rnd.IntN(r.Entries)
 	paths := []*relay.Relay{r.fleet.CallerPaths[e]}
@@ -298,6 +300,7 @@
 	return func() { t.SetFaults(0, 0, false) }
 }
 
+// drainTarget drains a target, and restarts it afterwards unless another fault has stopped it.
 func drainTarget(r *run, rnd *rand.Rand, _ time.Duration) func() {
 	i := rnd.IntN(len(r.fleet.Targets))
 	t := r.fleet.Targets[i]
@@ -317,6 +320,8 @@
 
 var storeFaultModes = []standin.StoreMode{standin.StoreUnresponsive, standin.StoreUnavailable, standin.StoreReset, standin.StoreAnswerLost}
 
+// degradeStore delays the store's answers, or sets one of storeFaultModes for all hosts without a
+// mode of their own.
 func degradeStore(r *run, rnd *rand.Rand, _ time.Duration) func() {
 	if rnd.IntN(3) == 0 {
 		r.fleet.Store.SetDelay(time.Duration(rnd.IntN(700)) * time.Millisecond)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -83,7 +83,7 @@
 
 	mu            sync.Mutex
 	jobCounts     JobCounts
-	faults        int
+	faults        int // number of injected faults
 	breaches      []standin.Breach
 	configVersion int // version of the newest configuration written
 }
