--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -68,6 +68,7 @@
 	return nil
 }
 
+// token returns the token from which the ids of jobs owned by the entry are made.
 func (c *callers) token(entry int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/demo/configuration.go
+++ b/internal/demo/configuration.go
@@ -199,7 +199,7 @@
 
 // recordVersion compares a version with highestBefore, the highest version received from the
 // process before it was queried, since answers to overlapping calls may be read in any order. It
-// also compares it with the highest version of the predecessors at the same address. A process
+// also compares it with the highest version of the earlier processes of the same name. A process
 // that is behind its predecessor counts as one breach, however long that lasts.
 func (o *operators) recordVersion(p *localfleet.Process, version, highestBefore uint64) {
 	o.mu.Lock()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -15,14 +15,14 @@
 
 // Options configures a run.
 type Options struct {
-	BinDir   string
-	LogDir   string
+	BinDir   string        // directory of the built programs
+	LogDir   string        // existing directory for the processes' logs; empty: logs are discarded
 	Duration time.Duration // how long jobs are submitted
 	Load     float64       // submitted work as a share of the targets' capacity
 	Seed     uint64
-	Chaos    bool   // inject random failures throughout the run
-	Listen   string // address of the first entry; empty for any free port
-	Out      io.Writer
+	Chaos    bool      // inject random failures throughout the run
+	Listen   string    // address of the first entry; empty for any free port
+	Out      io.Writer // receives the results
 }
 
 // Scheduled failures of a run without chaos, and limits of a run. killAtShare and cancelAtShare
--- a/internal/demo/drive.go
+++ b/internal/demo/drive.go
@@ -89,6 +89,7 @@
 	action func() error
 }
 
+// schedule holds the steps that have not run yet, ordered by offset.
 type schedule struct{ remaining []step }
 
 // runDue runs the steps that are due after the elapsed time.
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -63,6 +63,7 @@
 	return n
 }
 
+// printTargets writes a table with the speed, slots and number of starts of each target.
 func (r *run) printTargets(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "target\tspeed\tslots\tstarts")
--- a/internal/demo/work.go
+++ b/internal/demo/work.go
@@ -114,6 +114,7 @@
 	return p
 }
 
+// submission returns a random submission and sets p.longestMs.
 func (g *generator) submission(p *plan) *job.Submission {
 	s := &job.Submission{Team: teams[g.random.IntN(len(teams))], Class: taskClass}
 	tasks := jobSizes[g.random.IntN(len(jobSizes))]
