--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -294,6 +294,8 @@
 	return restore
 }
 
+// injectTargetFaults makes a target carry out up to 30 % of its orders late and lose up to 30 % of
+// its answers; one time in four, all tasks fail as well.
 func injectTargetFaults(r *run, rnd *rand.Rand, _ time.Duration) func() {
 	t := pick(rnd, r.fleet.Targets)
 	t.SetFaults(rnd.Float64()*0.3, rnd.Float64()*0.3, rnd.IntN(4) == 0)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -165,6 +165,8 @@
 	}
 }
 
+// sendUntilComplete returns the first complete answer to a job, or the last answer if there is none
+// within readyTimeout; see checkRecovery.
 func (r *run) sendUntilComplete(ctx context.Context, entry int, id string) (reply standin.Reply) {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); clock.Sleep(ctx, 300*time.Millisecond) {
 		reply = r.fleet.Call(ctx, "POST", r.fleet.URL(entry, "/q0/"+id), standin.JobBody(standin.Work, 3, 30), 10*time.Second)
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -117,6 +117,8 @@
 	}
 }
 
+// proxy connects to the target and forwards data in both directions until both have ended. It
+// closes the client connection if the target can't be reached.
 func (r *Relay) proxy(client net.Conn) {
 	r.mu.Lock()
 	target := r.target
