--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -187,20 +187,20 @@
 	f := &fanOutFleet{b: b, clock: clock.NewFake(time.Unix(0, 0)), log: logfake.New(), agentFanOut: config.NewFanOut(nil)}
 	start := designState(b)
 	for i := range assumedEntries {
-		h := config.NewReplica(config.Location{}, f.clock, logr.Discard())
-		f.entries = append(f.entries, h)
+		r := config.NewReplica(config.Location{}, f.clock, logr.Discard())
+		f.entries = append(f.entries, r)
 		f.fanOuts = append(f.fanOuts, config.NewFanOut(nil))
-		f.followers = append(f.followers, follower.New(follower.Options{Log: f.log, Replica: h, Clock: f.clock, Logger: logr.Discard(), Rand: rand.New(rand.NewPCG(2, uint64(i)))}))
+		f.followers = append(f.followers, follower.New(follower.Options{Log: f.log, Replica: r, Clock: f.clock, Logger: logr.Discard(), Rand: rand.New(rand.NewPCG(2, uint64(i)))}))
 		f.pollAt = append(f.pollAt, f.clock.Now())
 	}
 	_, err := f.log.Append(context.Background(), config.Stream, encodeChange(b, changeOf(start)))
 	must(b, err)
 	rng := rand.New(rand.NewPCG(3, 0))
 	for range designAgents {
-		h := config.NewReplica(config.Location{}, f.clock, logr.Discard())
-		f.agents = append(f.agents, h)
+		r := config.NewReplica(config.Location{}, f.clock, logr.Discard())
+		f.agents = append(f.agents, r)
 		for _, e := range rng.Perm(assumedEntries)[:assumedConnections] {
-			f.connect(e, h, rng)
+			f.connect(e, r, rng)
 		}
 	}
 	return f
--- a/internal/config/catalogue.go
+++ b/internal/config/catalogue.go
@@ -44,13 +44,13 @@
 	MaxJobs                int64 // most submission ids that an entry holds; a lower -max-jobs takes precedence
 	SoftQueueMs            int64 // queue length, in time to work it off, from which an entry rejects teams above their share
 	HardQueueMs            int64 // queue length, in time to work it off, from which an entry rejects everything
-	OvertakeFactorPercent  int64 // percentage by which an entry scales the expected wait of a job when it checks deadlines
+	OvertakeFactorPercent  int64 // factor, in percent, that an entry applies to the expected wait of a job when it checks deadlines; 100: unchanged
 	MaxDeadlineMs          int64 // latest deadline that a caller may request; a lower -max-timeout takes precedence
 	BrokenFailurePercent   int64 // failure rate that a broken target is assumed to have
 	InitialTrialIntervalMs int64 // delay before a broken target's first trial task
 	MaxTrialIntervalMs     int64 // longest interval between its trial tasks
 	DefaultQuota           int64 // concurrent tasks of a team without its own quota; 0 means no limit
-	Drain                  bool  // no new work is placed here
+	Drain                  bool  // the location gets no new work and finishes what it has
 	drainValue             int64
 	quotas                 []quota
 }
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -16,7 +16,7 @@
 const (
 	Ignored       Outcome = iota
 	Accepted              // it produced a new version
-	VoidStaleBase         // void: its base version was not current
+	VoidStaleBase         // void: its base version was not current; for a restart see applyRestart
 	VoidInvalid           // void: the change is invalid, see StructureError
 	Malformed             // it can't be decoded
 	Undetermined          // read while records are missing: whether it was accepted is unknown
@@ -105,7 +105,7 @@
 }
 
 // AdvanceTo replaces the state by one that another process derived from the log, if that
-// has a higher position, and reports whether it did. The fold is then contiguous, unless
+// has a higher position and no lower version, and reports whether it did. The fold is then contiguous, unless
 // the log has dropped records between that position and the first one scanned.
 func (f *Fold) AdvanceTo(s *State) bool {
 	if s.AsOf <= f.state.AsOf || s.Version < f.state.Version {
@@ -228,7 +228,7 @@
 // applySnapshot makes a fold contiguous at the snapshot's position and reports whether it
 // did; the records from there on must then be read again. A snapshot whose position is
 // below the first record scanned can't be used: a change between the two may have been
-// accepted. A contiguous fold ignores snapshots, so concurrent and delayed writers of
+// accepted. Nor can one of a lower version. A contiguous fold ignores snapshots, so concurrent and delayed writers of
 // snapshots do no harm.
 func (f *Fold) applySnapshot(s *State) bool {
 	if f.contiguous || s.AsOf < f.scanFrom || s.Version < f.state.Version {
--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -19,8 +19,8 @@
 )
 
 // Timing. A change is in force on an entry within about 1.25 * PollInterval, and on its
-// agents config.MaxFanOutDelay and two heartbeats later. This is below 6 s of the 13 s
-// that a change may take, so that a poll may be lost.
+// agents within config.MaxFanOutDelay and two heartbeats more. Together this is below 9 s of
+// the 13 s that a change may take, so that a whole poll may be lost.
 const (
 	DefaultPollInterval = 1500 * time.Millisecond
 	// MaxBackoff is the longest interval between polls while the log is unavailable.
--- a/internal/config/processes_test.go
+++ b/internal/config/processes_test.go
@@ -126,6 +126,7 @@
 	return status.Topics[config.Stream]
 }
 
+// stateAt returns the configuration in force at a daemon.
 func stateAt(p *localfleet.Process) *config.State {
 	c, err := client.New(client.Options{Entries: []string{p.Addr}, CallTimeout: time.Second})
 	Expect(err).NotTo(HaveOccurred())
@@ -147,6 +148,7 @@
 	return answer.State
 }
 
+// versionAt returns a function for Eventually that reads the version in force at a daemon.
 func versionAt(p *localfleet.Process) func() uint64 {
 	return func() uint64 { return stateAt(p).Version }
 }
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -9,7 +9,8 @@
 
 // Restart replaces the configuration by a state that a running process still has, after
 // the log has lost records that no process had read. It fails with ConfigInvalid while the
-// log still determines the state in force; other errors are those of Publish.
+// log still determines the state in force, or if the author, the reason or the state is
+// invalid. Other errors are those of Publish.
 func (p *Publisher) Restart(ctx context.Context, from *State, author, reason string) (*State, error) {
 	f := NewFold(&State{})
 	if _, err := ReadToEnd(ctx, p.log, f); err != nil {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -91,8 +91,9 @@
 	Remove []Place     `cbor:"9,keyasint,omitempty" json:"remove,omitempty"`
 }
 
-// StructureError reports why a change is invalid on every state. The rules behind it
-// are the same in every program of the fleet.
+// StructureError reports why a change is invalid: it breaks a rule of its own, or the
+// state that it would produce exceeds a limit. The rules and limits are the same in every
+// program of the fleet.
 type StructureError struct {
 	Field  string
 	Detail string
