--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -47,13 +47,13 @@
 	return true
 }
 
-// supersedes reports whether n replaces old: by its higher offset, or as a lift of the same
+// supersedes reports whether rec replaces old: by its higher offset, or as a lift of the same
 // offset.
-func supersedes(n, old Record) bool {
-	if n.Offset != old.Offset {
-		return n.Offset > old.Offset
+func supersedes(rec, old Record) bool {
+	if rec.Offset != old.Offset {
+		return rec.Offset > old.Offset
 	}
-	return n.Lifted && !old.Lifted
+	return rec.Lifted && !old.Lifted
 }
 
 // evict removes the record of the oldest lifted evacuation. Evacuations in force are kept,
@@ -107,7 +107,7 @@
 	Send func(PeerID, []Record)
 	// OnChange is called for each record that supersedes the known one; peer is its sender, or
 	// 0 if the record comes from the log.
-	OnChange func(now time.Time, s Record, peer PeerID)
+	OnChange func(now time.Time, rec Record, peer PeerID)
 
 	records recordSet
 	peers   map[PeerID]struct{}
