--- a/internal/platformlog/keyed.go
+++ b/internal/platformlog/keyed.go
@@ -57,8 +57,9 @@
 }
 
 const (
-	// longPollTimeout is how long a read waits for new records. A read over a broken
-	// connection fails soon after it, so it also limits how long changes are missed.
+	// longPollTimeout is how long a read waits for new records. A broken connection is only
+	// detected when a read takes longer than that, so it also determines how long changes are
+	// missed then.
 	longPollTimeout = 2 * time.Second
 	// initialRetryDelay and maxRetryDelay bound the delay after a failed call. The store limits
 	// the calls of all processes together, and rejected calls count towards the limit.
