--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -22,8 +22,8 @@
 
 // Defaults of Options.
 const (
-	// DefaultCallTimeout limits a call without a wait. A connection that is silent for longer
-	// is closed and another entry is used.
+	// DefaultCallTimeout limits a call, in addition to the time that it asks the entry to wait.
+	// After it, a connection that is silent is abandoned and another entry is used.
 	DefaultCallTimeout = 2 * time.Second
 	// DefaultLongPollTimeout is how long one call waits for an answer. A call that waited until
 	// the deadline would only then detect a silent connection. Most tasks end within a second
