--- a/command/cancel.go
+++ b/command/cancel.go
@@ -13,6 +13,7 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
+// cancel implements "camphorctl cancel".
 type cancel struct{}
 
 func newCancel() cancel { return cancel{} }
--- a/command/drain.go
+++ b/command/drain.go
@@ -8,6 +8,7 @@
 	"github.com/camphorrack/camphorrack/internal/fault"
 )
 
+// drain implements "camphorctl drain".
 type drain struct{}
 
 func newDrain() drain { return drain{} }
--- a/command/exit.go
+++ b/command/exit.go
@@ -15,8 +15,8 @@
 	ExitNotAccepted = 5 // the request was refused; none of it has run or will run
 )
 
-// ExitCode returns the exit code for an error. It is ExitDone for nil and ExitFailed for an
-// error whose fault has no code of its own.
+// ExitCode returns the exit code for an error. It is ExitDone for nil, ExitUndecided for an
+// error without a fault, and ExitFailed for a fault that has no exit code of its own.
 func ExitCode(err error) int {
 	if err == nil {
 		return ExitDone
--- a/command/info.go
+++ b/command/info.go
@@ -7,6 +7,7 @@
 	"fmt"
 )
 
+// info implements "camphorctl info".
 type info struct{}
 
 func newInfo() info { return info{} }
--- a/command/status.go
+++ b/command/status.go
@@ -11,6 +11,7 @@
 	"github.com/camphorrack/camphorrack/internal/job"
 )
 
+// status implements "camphorctl status".
 type status struct{}
 
 func newStatus() status { return status{} }
--- a/command/submit.go
+++ b/command/submit.go
@@ -19,6 +19,7 @@
 // (forward.MaxClockSkew); the command returns ExitUndecided before.
 const answerAllowance = 2 * time.Second
 
+// submit implements "camphorctl submit".
 type submit struct{}
 
 func newSubmit() submit { return submit{} }
--- a/command/targets.go
+++ b/command/targets.go
@@ -8,6 +8,7 @@
 	"github.com/camphorrack/camphorrack/internal/owner"
 )
 
+// targets implements "camphorctl targets".
 type targets struct{}
 
 func newTargets() targets { return targets{} }
--- a/command/token.go
+++ b/command/token.go
@@ -5,6 +5,7 @@
 	"fmt"
 )
 
+// token implements "camphorctl token".
 type token struct{}
 
 func newToken() token { return token{} }
