--- a/internal/job/id.go
+++ b/internal/job/id.go
@@ -50,9 +50,9 @@
 type Key []byte
 
 const (
-	idPrefix  = "c1"
-	macBytes  = 8
-	maxUnique = 64
+	idPrefix       = "c1"
+	macBytes       = 8
+	maxUniqueBytes = 64
 )
 
 // Token returns the owner's signed token: "c1-incarnation-address-mac". A caller
@@ -112,6 +112,8 @@
 	return ID{Owner: owner, Deadline: time.UnixMilli(ms), Unique: parts[5], text: text}, nil
 }
 
+// parseOwner parses the owner in an id: the incarnation in 16 hexadecimal digits and the binary
+// address in hexadecimal. The error is a *fault.Fault.
 func parseOwner(incarnation, addr string) (Owner, error) {
 	n, err := strconv.ParseUint(incarnation, 16, 64)
 	if err != nil || len(incarnation) != 16 || n == 0 {
@@ -128,8 +130,10 @@
 	return Owner{Incarnation: Incarnation(n), Addr: ap}, nil
 }
 
+// validName reports whether s is a valid unique part, team or class: 1 to maxUniqueBytes characters of
+// A-Z a-z 0-9 _ - and dot.
 func validName(s string) bool {
-	if len(s) == 0 || len(s) > maxUnique {
+	if len(s) == 0 || len(s) > maxUniqueBytes {
 		return false
 	}
 	for _, r := range s {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -37,7 +37,7 @@
 	return Demand{d.CPUMilli + o.CPUMilli, d.MemoryMB + o.MemoryMB, d.Accelerators + o.Accelerators}
 }
 
-// Sub returns the difference of both demands.
+// Sub returns d reduced by o.
 func (d Demand) Sub(o Demand) Demand {
 	return Demand{d.CPUMilli - o.CPUMilli, d.MemoryMB - o.MemoryMB, d.Accelerators - o.Accelerators}
 }
