--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -133,7 +133,7 @@
 	// NotRun states that no task of the request has run or ever will. It is set only if
 	// that is certain.
 	NotRun bool `json:"not_run"`
-	// RetryAfterMs is the time after which a retry may succeed; 0 means that none will.
+	// RetryAfterMs is the time after which a retry makes sense; 0 means never.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
