--- a/internal/gauges/gauges.go
+++ b/internal/gauges/gauges.go
@@ -39,9 +39,9 @@
 }
 
 // RegisterConfig adds gauges for the version of the configuration in force and its age.
-func (s Set) RegisterConfig(h *config.Replica) {
-	s.RegisterGauge("config.version", func() int64 { return int64(h.Get().State.Version) })
-	s.RegisterGauge("config.age_ms", func() int64 { return h.Age().Milliseconds() })
+func (s Set) RegisterConfig(r *config.Replica) {
+	s.RegisterGauge("config.version", func() int64 { return int64(r.Get().State.Version) })
+	s.RegisterGauge("config.age_ms", func() int64 { return r.Age().Milliseconds() })
 }
 
 // cpuMicroseconds returns the user and system CPU time that the process has used, or 0
