--- a/internal/config/catalogue.go
+++ b/internal/config/catalogue.go
@@ -55,6 +55,7 @@
 	quotas                 []quota
 }
 
+// quota is the number of tasks that a team may run concurrently.
 type quota struct {
 	team  string
 	limit int64
--- a/internal/config/codec.go
+++ b/internal/config/codec.go
@@ -76,7 +76,7 @@
 }
 
 // mustDecoder returns the decoder of records, states and updates. It rejects unknown
-// fields, and bounds nesting and the size of arrays.
+// and duplicate fields and indefinite lengths, and bounds nesting and the size of arrays.
 func mustDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -153,6 +153,7 @@
 	return nil
 }
 
+// check checks that all fields that a restart needs are set, and that its state is valid.
 func (r *Restart) check() error {
 	if r.State == nil || r.ID == "" || r.Reason == "" || r.Author == "" {
 		return errMalformed
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -20,6 +20,7 @@
 	return append(lines, onlyIn(second, first, "+")...)
 }
 
+// onlyIn returns a line for each exception that is in one state and not in the other.
 func onlyIn(in, other *State, sign string) []string {
 	inOther := make(map[Exception]bool, len(other.Exceptions))
 	for _, e := range other.Exceptions {
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -80,6 +80,7 @@
 	return f, results, nil
 }
 
+// notTakenFault returns the fault for a change or restart that was certainly not appended.
 func notTakenFault(cause error) error {
 	return fault.Newf(fault.ConfigNotTaken, "nothing was accepted: %v", cause)
 }
@@ -181,6 +182,8 @@
 	return nil, nil, false
 }
 
+// undecidedFault returns the fault for a change whose outcome is unknown, with the command that
+// determines it.
 func undecidedFault(id string, base uint64, cause string) *fault.Fault {
 	return fault.Newf(fault.ConfigUndecided,
 		"change %s on version %d may or may not be accepted (%s); ask with: camphorctl config resolve -change %s -base %d",
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -152,6 +152,7 @@
 	return &out, nil
 }
 
+// put sets a setting and keeps the order by key.
 func (s *State) put(set Setting) {
 	i, found := slices.BinarySearchFunc(s.Settings, set.Key, compareSetting)
 	if found {
@@ -161,6 +162,7 @@
 	s.Settings = slices.Insert(s.Settings, i, set)
 }
 
+// putException adds an exception or replaces the one of the same place, and keeps the order.
 func (s *State) putException(e Exception) {
 	i, found := slices.BinarySearchFunc(s.Exceptions, e.Place(), compareException)
 	if found {
--- a/internal/config/structure.go
+++ b/internal/config/structure.go
@@ -63,10 +63,12 @@
 	return len(k) > 0 && len(k) <= 2*MaxNameBytes && validBytes(string(k))
 }
 
+// validName reports whether s has valid bytes and 1 to MaxNameBytes of them.
 func validName(s string) bool {
 	return len(s) > 0 && len(s) <= MaxNameBytes && validBytes(s)
 }
 
+// validBytes reports whether s has only the bytes A-Z a-z 0-9 _ - and dot.
 func validBytes(s string) bool {
 	for i := range len(s) {
 		b := s[i]
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -33,6 +33,8 @@
 	return fault.Input(fault.ConfigInvalid, field, detail)
 }
 
+// checkValue checks that the key is known, the value in range and an exception allowed for the
+// kind of scope; "" stands for a fleet-wide setting. The error is a *fault.Fault.
 func checkValue(k Key, v int64, kind ScopeKind) error {
 	d, ok := LookupDefinition(k)
 	if !ok {
@@ -47,6 +49,7 @@
 	return nil
 }
 
+// scopesText returns the scopes of the setting, for an error message.
 func (d *Definition) scopesText() string {
 	if len(d.Scopes) == 0 {
 		return "it is fleet-wide only"
