--- a/internal/client/cancel.go
+++ b/internal/client/cancel.go
@@ -38,6 +38,7 @@
 	return all, nil
 }
 
+// cancelBatch cancels at most MaxCancelIDs submissions in one call.
 func (c *Client) cancelBatch(ctx context.Context, ids []string) ([]Cancelled, error) {
 	request := struct {
 		IDs []string `json:"ids"`
--- a/internal/client/submit.go
+++ b/internal/client/submit.go
@@ -86,6 +86,8 @@
 	)
 }
 
+// run makes calls until there is a final answer, an error ends the polling, or ctx ends, which
+// gives an *UndecidedError.
 func (p *poller) run(ctx context.Context) (*job.Answer, error) {
 	for ctx.Err() == nil {
 		answer, delay, err := p.attempt(ctx)
