--- a/internal/job/id.go
+++ b/internal/job/id.go
@@ -63,6 +63,7 @@
 	return body + "-" + sign(k, body)
 }
 
+// sign returns the truncated HMAC-SHA-256 of body in hexadecimal.
 func sign(k Key, body string) string {
 	mac := hmac.New(sha256.New, k)
 	mac.Write([]byte(body))
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -90,6 +90,7 @@
 	return nil
 }
 
+// validate checks the task with index i. The error is a *fault.Fault.
 func (t *Task) validate(i int) error {
 	field := "tasks[" + strconv.Itoa(i) + "]."
 	if len(t.Payload) > MaxPayloadBytes {
