--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -81,6 +81,7 @@
 	return a.checkCapacity()
 }
 
+// checkCapacity checks the resources. The error is a *fault.Fault.
 func (a *Announcement) checkCapacity() error {
 	capacities := []struct {
 		field string
